--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -293,7 +293,7 @@
 func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
 	words := make([]limit.Word, len(list))
 	for i, v := range list {
-		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
+		words[i] = limit.Word{Of: retry.Incarnation{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
 	}
 	return words
 }
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -21,7 +21,7 @@
 		}
 		l := m.entry.Lifetime()
 		rate, limited := p.limits.Rate(now, l)
-		wait := p.rests.Left(now, l)
+		wait := p.rests.Remaining(now, l)
 		if limited {
 			wait = max(wait, p.limits.Wait(now, l, s.size.Slots > 0))
 		}
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -121,7 +121,7 @@
 	for _, m := range p.services[n.Service] {
 		takes, last := p.serves(now, m, n)
 		switch {
-		case m.entry.Leaving || m.gone || n.Excluded[m.entry.ID] || p.rests.Left(now, m.entry.Lifetime()) > 0:
+		case m.entry.Leaving || m.gone || n.Excluded[m.entry.ID] || p.rests.Remaining(now, m.entry.Lifetime()) > 0:
 		case n.Fresh && now.Sub(m.failed) < unreachableKeeps:
 		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Lifetime(), n.Engine) > 0:
 			limited++
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -117,7 +117,7 @@
 	splits   map[string]Split                // by service
 	versions map[string]map[string]time.Time // when each was first seen, by service
 	filled   bool                            // the list has been read
-	rests    *retry.Rests                    // that upstreams have asked of this node
+	rests    *retry.Cooldowns                    // that upstreams have asked of this node
 	limits   *limit.Book                     // that upstreams name for all nodes together
 }
 
@@ -148,7 +148,7 @@
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
 		peers: make(map[string]peerLoad), known: make(map[string]*service), reached: make(map[string]time.Time),
-		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewRests(), limits: limit.NewBook(node),
+		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewCooldowns(), limits: limit.NewBook(node),
 	}
 }
 
@@ -246,8 +246,8 @@
 
 // forgetWords drops what a life has asked for that named no birth and is over: the next one may have its name.
 func (p *Pools) forgetWords(id string) {
-	p.rests.Forget(retry.Lifetime{ID: id})
-	p.limits.Forget(retry.Lifetime{ID: id})
+	p.rests.Forget(retry.Incarnation{ID: id})
+	p.limits.Forget(retry.Incarnation{ID: id})
 }
 
 // SetSize says what an engine of a service has.
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -22,7 +22,7 @@
 // together, and they share it (package limit).
 
 // Lifetime names the life that the entry is of.
-func (e Entry) Lifetime() retry.Lifetime { return retry.Lifetime{ID: e.ID, Born: e.Born} }
+func (e Entry) Lifetime() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
 
 // Leave takes in that an upstream has said itself that it leaves. It is the word of the life that
 // the entry names.
@@ -60,7 +60,7 @@
 func (p *Pools) Rest(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.Ask(p.clock.Now(), e.Lifetime(), d)
+	return p.rests.Start(p.clock.Now(), e.Lifetime(), d)
 }
 
 // HearLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, l, engine := p.clock.Now(), e.Lifetime(), p.service(e.Service).size.Slots > 0
-	if p.rests.Left(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
+	if p.rests.Remaining(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
 		return false
 	}
 	p.limits.Take(now, l, engine)
