--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -98,7 +98,7 @@
 	cands     []route.Candidate
 	moving    map[string]*move // streams, by request id
 	rests     *retry.Cooldowns     // that upstreams have asked of this node
-	turns     retry.Turns      // of callers that are turned away while all rest
+	turns     retry.ReturnSchedule      // of callers that are turned away while all rest
 	spent     money
 	perToken  float64 // seconds, smoothed over all upstreams
 }
@@ -286,7 +286,7 @@
 	p.refreshLocked()
 	now := p.d.now()
 	at := p.d.o.Clock.Now()
-	fresh := tried.bound.Next() == retry.SearchFresh
+	fresh := tried.bound.Next() == retry.ScopeReachable
 	for i := range p.cands {
 		c, f := &p.cands[i], &p.list[i]
 		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Remaining(at, retry.Incarnation{ID: c.ID}) > 0
@@ -384,7 +384,7 @@
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
-		p.outliers.Unclear(p.d.now(), id)
+		p.outliers.Inconclusive(p.d.now(), id)
 		return
 	}
 	if p.outliers.Failure(p.d.now(), id, len(p.list)) {
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -26,7 +26,7 @@
 	now, after := p.d.o.Clock.Now(), returnsAfter
 	if rest := p.rests.ShortestRemaining(now, list); rest > 0 {
 		slots, perSecond := p.admission.Room()
-		after = p.turns.Take(now, rest, slots, perSecond)
+		after = p.turns.Next(now, rest, slots, perSecond)
 	}
 	return &Refusal{cause: errNobody.Error(), after: after, nobody: true}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -66,8 +66,8 @@
 func (s *Server) tryAll(ctx context.Context, q *request) (*answer, error) {
 	tried := make(map[string]bool)
 	var last error
-	q.tries = retry.Tries{}
-	for try := 0; q.tries.Next() != retry.SearchOver; try++ {
+	q.tries = retry.SearchLimit{}
+	for try := 0; q.tries.Next() != retry.ScopeNone; try++ {
 		if err := s.mayTry(ctx, q, try, last); err != nil {
 			return nil, err
 		}
@@ -92,7 +92,7 @@
 // Place says.
 func (s *Server) pick(ctx context.Context, q *request, tried map[string]bool) *pool.Use {
 	n := s.need(q, tried)
-	n.Fresh = q.tries.Next() == retry.SearchFresh
+	n.Fresh = q.tries.Next() == retry.ScopeReachable
 	if len(tried) == 0 {
 		if u := s.pickTrial(q, n); u != nil {
 			return u
@@ -126,7 +126,7 @@
 	case v == retry.VerdictRetry:
 		count("retries", 1)
 		return nil
-	case why == retry.ReasonTime:
+	case why == retry.ReasonDeadline:
 		return s.giveUp(q, errTimeout, last)
 	case why == retry.ReasonBudget:
 		s.o.Log.Info("retry_denied", zap.String("request", q.meta.ID), zap.String("service", q.service), zap.String("cause", "the retry budget is spent"))
@@ -137,7 +137,7 @@
 // decide tells whether a request may be sent once more. Attempts that reached no upstream
 // cost no budget.
 func (s *Server) decide(q *request) (retry.Verdict, retry.Reason) {
-	a := retry.Attempt{Repeatable: q.route.Repeatable(), MayHaveRun: q.mayRun, Sent: q.sends, Most: q.route.MaxAttempts(), Left: q.until.Sub(s.o.Clock.Now())}
+	a := retry.Attempt{Repeatable: q.route.Repeatable(), MayHaveRun: q.mayRun, Sent: q.sends, MaxSent: q.route.MaxAttempts(), TimeLeft: q.until.Sub(s.o.Clock.Now())}
 	return retry.Decide(a, func() bool { return q.arrivals == 0 || s.o.Repeat(q.service) })
 }
 
@@ -186,9 +186,9 @@
 		return a, nil
 	}
 	if errors.Is(err, errNotRun) && a.head == nil {
-		q.tries.Missed(s.o.Clock.Since(a.sent))
+		q.tries.RecordUnreachable(s.o.Clock.Since(a.sent))
 	} else {
-		q.tries.Turned()
+		q.tries.RecordReached()
 	}
 	broken := a.broken(ctx, err)
 	if c := context.Cause(a.ctx); c != nil && ctx.Err() == nil {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -144,7 +144,7 @@
 	arrived   time.Time
 	until     time.Time     // when an answer is due
 	before    time.Duration // between the caller's first try and this one
-	tries     retry.Tries   // of the search for an upstream that goes on
+	tries     retry.SearchLimit   // of the search for an upstream that goes on
 	sends     int           // attempts of which a byte left, but for those that another upstream's life answered
 	arrivals  int           // attempts of which a byte left
 	mayRun    bool          // an attempt may have run it
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -137,8 +137,8 @@
 // resume goes on at another upstream after the last event passed on.
 func (t *stream) resume(cause error) (event, error) {
 	tried := map[string]bool{t.a.use.Entry().ID: true}
-	t.q.tries = retry.Tries{}
-	for t.q.tries.Next() != retry.SearchOver {
+	t.q.tries = retry.SearchLimit{}
+	for t.q.tries.Next() != retry.ScopeNone {
 		if !t.resumable() {
 			return event{}, cause
 		}
@@ -149,7 +149,7 @@
 			return event{}, cause
 		}
 		n := t.s.need(t.q, tried)
-		n.Fresh = t.q.tries.Next() == retry.SearchFresh
+		n.Fresh = t.q.tries.Next() == retry.ScopeReachable
 		use := t.s.o.Pools.Pick(n)
 		if use == nil {
 			return event{}, cause
@@ -168,7 +168,7 @@
 		}
 		if a.events == nil {
 			a.end(pool.ResultFailed)
-			t.q.tries.Turned()
+			t.q.tries.RecordReached()
 			cause = fault.Because(errLost, "the resumed stream was answered %d", a.head.StatusCode)
 			continue
 		}
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -43,7 +43,7 @@
 		return 0
 	}
 	nodes := float64(p.nodes(now))
-	return s.turns.Take(now, soonest, places/nodes, pace/nodes)
+	return s.turns.Next(now, soonest, places/nodes, pace/nodes)
 }
 
 // nodes is how many nodes share the upstreams, this one included: those that were heard of lately.
--- a/internal/pool/comeback_test.go
+++ b/internal/pool/comeback_test.go
@@ -64,7 +64,7 @@
 				clock.Advance(start.Add(at).Sub(clock.Service().Now()))
 				told := pools[i%nodes].ComeBack("s")
 				assert.GreaterOrEqual(t, at+told, rest, "none is told too early")
-				assert.LessOrEqual(t, at+told, rest+retry.SpreadMost)
+				assert.LessOrEqual(t, at+told, rest+retry.MaxReturnSpread)
 				back = append(back, at+told)
 			}
 			slices.Sort(back)
@@ -78,7 +78,7 @@
 		for range 3 * callers {
 			back = append(back, p.ComeBack("s"))
 		}
-		assert.LessOrEqual(t, slices.Max(back), rest+retry.SpreadMost)
+		assert.LessOrEqual(t, slices.Max(back), rest+retry.MaxReturnSpread)
 		assert.LessOrEqual(t, most(back, 500*time.Millisecond), 80+3*40)
 	})
 	t.Run("a single caller is told the end of the rest", func(t *testing.T) {
@@ -106,7 +106,7 @@
 		for range callers {
 			p.ComeBack("s")
 		}
-		clock.Advance(rest + 2*retry.SpreadMost)
+		clock.Advance(rest + 2*retry.MaxReturnSpread)
 		for _, v := range p.Items() {
 			p.Rest(v.Entry, rest)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -134,7 +134,7 @@
 	lasts   float64     // milliseconds that a request takes, to its end
 	usual   float64     // time to a first event over the one expected, as answers lately had it; 0: none yet
 	lag     float64     // milliseconds by which first events lately come later than expected
-	turns   retry.Turns // of callers that are turned away while no upstream takes anything
+	turns   retry.ReturnSchedule // of callers that are turned away while no upstream takes anything
 }
 
 type placing struct {
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -191,16 +191,16 @@
 		o.Failure(now.Sub(u.p.start), id, len(u.p.services[u.m.entry.Service]))
 		u.m.failures += failureGain * (1 - u.m.failures)
 	case ResultRefused:
-		o.Unclear(now.Sub(u.p.start), id)
+		o.Inconclusive(now.Sub(u.p.start), id)
 		u.m.refused = now
 	case ResultUnreachable:
 		o.Failure(now.Sub(u.p.start), id, len(u.p.services[u.m.entry.Service]))
 		u.m.failures += failureGain * (1 - u.m.failures)
 		u.m.silent, u.m.failed = now, now
 	case ResultGone:
-		o.Unclear(now.Sub(u.p.start), id)
+		o.Inconclusive(now.Sub(u.p.start), id)
 		u.m.gone = true
 	case ResultUnclear:
-		o.Unclear(now.Sub(u.p.start), id)
+		o.Inconclusive(now.Sub(u.p.start), id)
 	}
 }
--- a/internal/retry/tries.go
+++ b/internal/retry/tries.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tries bounds the upstreams that one request looks at.
+// SearchLimit bounds the upstreams that one request looks at.
 //
 // One that turns the request away has cost it a way there and back, and work at an upstream that has none
 // to spare, so these are bounded by number. One that has ended refuses the connection at once. Where many
@@ -14,7 +14,7 @@
 //
 // Weighed: a larger number for all. A hall that is cut off costs the time-out of a connection at each
 // of its upstreams, and the caller would be told late what is known after a few.
-type Tries struct {
+type SearchLimit struct {
 	turned int // upstreams that were reached and didn't take it, in vain either way
 	missed int // upstreams that couldn't be reached
 	lost   time.Duration
@@ -28,35 +28,35 @@
 	lostMost = 100 * time.Millisecond
 )
 
-// Search is where the next try may go.
-type Search int
+// SearchScope is where the next try may go.
+type SearchScope int
 
 // The searches.
 const (
-	SearchAll   Search = iota // to any upstream
-	SearchFresh               // to one that this node hasn't failed to reach lately
-	SearchOver                // to none
+	ScopeAll   SearchScope = iota // to any upstream
+	ScopeReachable               // to one that this node hasn't failed to reach lately
+	ScopeNone                // to none
 )
 
-// Turned notes an upstream that was reached.
-func (t *Tries) Turned() { t.turned++ }
+// RecordReached notes an upstream that was reached.
+func (t *SearchLimit) RecordReached() { t.turned++ }
 
-// Missed notes an upstream that couldn't be reached, which took that long to find out.
-func (t *Tries) Missed(took time.Duration) {
+// RecordUnreachable notes an upstream that couldn't be reached, which took that long to find out.
+func (t *SearchLimit) RecordUnreachable(took time.Duration) {
 	t.missed++
 	t.lost += took
 }
 
 // Reached returns how many upstreams were reached.
-func (t *Tries) Reached() int { return t.turned }
+func (t *SearchLimit) Reached() int { return t.turned }
 
 // Next returns where the next try may go.
-func (t *Tries) Next() Search {
+func (t *SearchLimit) Next() SearchScope {
 	switch {
 	case t.turned+t.missed < triesMost:
-		return SearchAll
+		return ScopeAll
 	case t.turned < triesMost && t.missed > 0 && t.lost < lostMost:
-		return SearchFresh
+		return ScopeReachable
 	}
-	return SearchOver
+	return ScopeNone
 }
