--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -66,8 +66,8 @@
 			assertTrials(t, v.Trials)
 			var view relay.View
 			view.Take(now, "r", v)
-			p.TakeShares(v.Shares, map[string]bool{"n": true}, v.Placed)
-			p.TakeReach(v.Reach)
+			p.ApplyPeerLoads(v.Shares, map[string]bool{"n": true}, v.Placed)
+			p.ApplyReachability(v.Reach)
 		}
 		var r wire.NodeReport
 		if proto.Unmarshal(b, &r) == nil {
@@ -75,8 +75,8 @@
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
 			book.Gather(now, v)
-			p.TakeIn("n", v.Loads, v.Placed, nil)
-			p.TakeReach(v.Reach)
+			p.ApplyReport("n", v.Loads, v.Placed, nil)
+			p.ApplyReachability(v.Reach)
 		}
 		var i wire.ListItem
 		if proto.Unmarshal(b, &i) == nil {
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -19,7 +19,7 @@
 		if m.entry.Leaving || m.gone {
 			continue
 		}
-		l := m.entry.Lifetime()
+		l := m.entry.Incarnation()
 		rate, limited := p.limits.Rate(now, l)
 		wait := p.rests.Remaining(now, l)
 		if limited {
--- a/internal/pool/comeback_test.go
+++ b/internal/pool/comeback_test.go
@@ -20,7 +20,7 @@
 		p := New(clock.Service(), "self", "h")
 		for j := range nodes {
 			if j != i {
-				p.TakeIn(fmt.Sprint("n", j), nil, nil, map[string]capacity.Engine{})
+				p.ApplyReport(fmt.Sprint("n", j), nil, nil, map[string]capacity.Engine{})
 			}
 		}
 		p.Update(func(l *List) {
@@ -94,7 +94,7 @@
 	})
 	t.Run("nodes that a relay tells of share the places, too", func(t *testing.T) {
 		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
-		p.TakeShares(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
+		p.ApplyPeerLoads(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
 		for range 80 / 4 {
 			assert.Equal(t, rest, p.ComeBack("s"))
 		}
--- a/internal/pool/life_test.go
+++ b/internal/pool/life_test.go
@@ -113,7 +113,7 @@
 		v := p.Pick(Need{Service: "s"})
 		v.End(ResultUnreachable)
 	}
-	p.TakeReach(Reach{Unreached: []Unreached{{Upstream: "a", Born: 1, Nodes: 3, Gone: true}}})
+	p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true}}})
 	assert.Nil(t, p.Pick(Need{Service: "s"}), "its address is another's")
 	changes := p.Update(func(l *List) { l.Put(lifeAt(2, 2, false)) })
 	events := []string{}
@@ -130,7 +130,7 @@
 		n.End(ResultGood)
 	}
 	t.Run("a word of the life before is none of it", func(t *testing.T) {
-		p.TakeReach(Reach{Unreached: []Unreached{{Upstream: "a", Born: 1, Nodes: 3, Gone: true, Age: time.Millisecond}}})
+		p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true, Age: time.Millisecond}}})
 		assert.NotNil(t, p.Pick(Need{Service: "s"}))
 	})
 }
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -35,7 +35,7 @@
 	Slots       int           // requests that it works on at once
 	Leaving     bool          // takes nothing new
 	Declared    bool          // its entry says so itself
-	Begun       int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
+	StartRevision       int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
 	WarmUp      time.Duration // it is slow for so long
 	Reclaimable bool
 	LeavesIn    time.Duration // 0: unsaid
--- a/internal/pool/others.go
+++ b/internal/pool/others.go
@@ -17,13 +17,13 @@
 // A relay tells what the nodes behind it have together, some tenths of a second old. Its
 // sums take the place of the reports of the nodes that it tells of.
 
-// Share is what some other nodes together have at upstreams.
-type Share struct {
+// PeerLoad is what some other nodes together have at upstreams.
+type PeerLoad struct {
 	Age   time.Duration // of the figures, on average
 	Loads []Load
-	// Whole says that whatever these nodes have sent since is known: this node places their
+	// Complete says that whatever these nodes have sent since is known: this node places their
 	// requests.
-	Whole bool
+	Complete bool
 }
 
 type shareLoad struct {
@@ -36,15 +36,15 @@
 // tell of: some rounds of a relay, so that one that is lost can be replaced by another.
 const sharesKeep = 1500 * time.Millisecond
 
-// TakeShares takes in what other nodes have, as a relay tells it, which nodes these are, and
+// ApplyPeerLoads takes in what other nodes have, as a relay tells it, which nodes these are, and
 // where prompt prefixes were read.
-func (p *Pools) TakeShares(shares []Share, covered map[string]bool, placed []Placement) {
+func (p *Pools) ApplyPeerLoads(shares []PeerLoad, covered map[string]bool, placed []Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	p.shares, p.covered, p.shared = p.shares[:0], covered, now
 	for _, s := range shares {
-		p.shares = append(p.shares, shareLoad{at: now.Add(-s.Age), loads: s.Loads, whole: s.Whole})
+		p.shares = append(p.shares, shareLoad{at: now.Add(-s.Age), loads: s.Loads, whole: s.Complete})
 	}
 	p.learnPlaced(now, placed)
 }
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -89,7 +89,7 @@
 	u.expect = v.engine.FirstEvent(u.reads)
 	if n.placed != m.entry.ID {
 		u.turn = true
-		p.limits.Take(now, m.entry.Lifetime(), n.Engine)
+		p.limits.Take(now, m.entry.Incarnation(), n.Engine)
 	}
 	m.load.Running++
 	m.load.Held += u.held
@@ -121,9 +121,9 @@
 	for _, m := range p.services[n.Service] {
 		takes, last := p.serves(now, m, n)
 		switch {
-		case m.entry.Leaving || m.gone || n.Excluded[m.entry.ID] || p.rests.Remaining(now, m.entry.Lifetime()) > 0:
+		case m.entry.Leaving || m.gone || n.Excluded[m.entry.ID] || p.rests.Remaining(now, m.entry.Incarnation()) > 0:
 		case n.Fresh && now.Sub(m.failed) < unreachableKeeps:
-		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Lifetime(), n.Engine) > 0:
+		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Incarnation(), n.Engine) > 0:
 			limited++
 		case last:
 			lasts = append(lasts, m)
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -29,7 +29,7 @@
 	if !ok {
 		return ""
 	}
-	p.limits.Take(now, v.member.entry.Lifetime(), n.Engine)
+	p.limits.Take(now, v.member.entry.Incarnation(), n.Engine)
 	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Held: n.Prompt + n.Output}
 	p.pending = append(p.pending, pending{node: node, at: now, load: l})
 	p.place(now, v.member, n.Parts)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -88,7 +88,7 @@
 	rank      int // among the target's upstreams of a roll-out; notRanked: none of these
 }
 
-type peerLoad struct {
+type peerReport struct {
 	at      time.Time
 	loads   map[string]Load
 	engines map[string]capacity.Engine
@@ -104,7 +104,7 @@
 	members  map[string]*member
 	services map[string][]*member
 	outliers map[string]*retry.Outliers
-	peers    map[string]peerLoad
+	peers    map[string]peerReport
 	shares   []shareLoad
 	covered  map[string]bool // the nodes that the shares tell of
 	shared   time.Time       // when they came
@@ -147,7 +147,7 @@
 	return &Pools{
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
-		peers: make(map[string]peerLoad), known: make(map[string]*service), reached: make(map[string]time.Time),
+		peers: make(map[string]peerReport), known: make(map[string]*service), reached: make(map[string]time.Time),
 		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewCooldowns(), limits: limit.NewBook(node),
 	}
 }
@@ -341,8 +341,8 @@
 	}
 }
 
-// TakeIn takes in another node's report.
-func (p *Pools) TakeIn(node string, loads []Load, placed []Placement, engines map[string]capacity.Engine) {
+// ApplyReport takes in another node's report.
+func (p *Pools) ApplyReport(node string, loads []Load, placed []Placement, engines map[string]capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -350,7 +350,7 @@
 	for _, l := range loads {
 		m[l.Upstream] = l
 	}
-	p.peers[node] = peerLoad{at: now, loads: m, engines: engines}
+	p.peers[node] = peerReport{at: now, loads: m, engines: engines}
 	p.learnPlaced(now, placed)
 }
 
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -21,8 +21,8 @@
 // is asked of one node, by its sends, and stays with it (retry.Rests). A limit is named for all nodes
 // together, and they share it (package limit).
 
-// Lifetime names the life that the entry is of.
-func (e Entry) Lifetime() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
+// Incarnation names the life that the entry is of.
+func (e Entry) Incarnation() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
 
 // Leave takes in that an upstream has said itself that it leaves. It is the word of the life that
 // the entry names.
@@ -60,7 +60,7 @@
 func (p *Pools) Rest(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.Start(p.clock.Now(), e.Lifetime(), d)
+	return p.rests.Start(p.clock.Now(), e.Incarnation(), d)
 }
 
 // HearLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
@@ -70,9 +70,9 @@
 	defer p.mu.Unlock()
 	switch l.Word {
 	case call.LimitNamed:
-		return p.limits.Named(p.clock.Now(), sent, e.Lifetime(), l.Rate)
+		return p.limits.Named(p.clock.Now(), sent, e.Incarnation(), l.Rate)
 	case call.LimitNone:
-		return p.limits.Unnamed(p.clock.Now(), sent, e.Lifetime())
+		return p.limits.Unnamed(p.clock.Now(), sent, e.Incarnation())
 	case call.LimitUnclear, call.LimitUnheard:
 	}
 	return false
@@ -104,7 +104,7 @@
 func (p *Pools) Ask(e Entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, l, engine := p.clock.Now(), e.Lifetime(), p.service(e.Service).size.Slots > 0
+	now, l, engine := p.clock.Now(), e.Incarnation(), p.service(e.Service).size.Slots > 0
 	if p.rests.Remaining(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
 		return false
 	}
--- a/internal/pool/state.go
+++ b/internal/pool/state.go
@@ -40,7 +40,7 @@
 }
 
 func (p *Pools) state(now time.Time, m *member) State {
-	l := m.entry.Lifetime()
+	l := m.entry.Incarnation()
 	s := State{Entry: m.entry, Misplaced: m.gone, Rest: p.rests.Remaining(now, l), Slowness: m.pace.slowness(now), Unreached: -1, Running: m.load.Running}
 	if w, share, named := p.limits.Look(now, l); named {
 		s.Limited, s.Rate, s.LimitAge, s.Share = true, w.Rate, now.Sub(w.At), share
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -175,7 +175,7 @@
 
 func (u *Use) judge(r Result) {
 	if u.turn && (r == ResultUnreachable || r == ResultGone) {
-		u.p.limits.Return(u.entry.Lifetime())
+		u.p.limits.Return(u.entry.Incarnation())
 	}
 	if r == ResultUnreachable || r == ResultRefused || r == ResultGone {
 		s := u.p.service(u.entry.Service)
