--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -214,7 +214,7 @@
 		return err
 	}
 	m := a.Msg
-	if !m.Watching || m.HasList && m.ListRevision < n.pools.Change() {
+	if !m.Watching || m.HasList && m.ListRevision < n.pools.LastChange() {
 		return errNoNews
 	}
 	n.followed()
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, e := range n.enginesToAsk() {
-		if !n.pools.Ask(e) {
+		if !n.pools.AllowQuery(e) {
 			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "it rests, or has had what it takes"))
 			continue
 		}
@@ -51,7 +51,7 @@
 			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Rest), zap.String("cause", err.Error()))
 			continue
 		}
-		n.pools.Held(e.ID, parts)
+		n.pools.ApplyCachedParts(e.ID, parts)
 		n.log.Info("cached_found", zap.String("upstream", e.ID), zap.Int("parts", len(parts)))
 	}
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -208,7 +208,7 @@
 // those that the share tells of by now. The node's lock is held.
 func (n *Node) settle(shares []pool.PeerLoad) {
 	shares[0].Complete = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(reportTakes)) })
+	n.pools.DropReported(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(reportTakes)) })
 }
 
 // swapAll swaps with the other relays whose turn it is.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -148,7 +148,7 @@
 		reason += "; before that: " + fault.Reason(last)
 	}
 	if !q.mayRun {
-		rest := s.o.Pools.ComeBack(q.service)
+		rest := s.o.Pools.RetryAfter(q.service)
 		if rest > 0 {
 			reason += "; all upstreams rest or have had what they take"
 		}
@@ -224,11 +224,11 @@
 func (s *Server) verdict(ctx context.Context, a *attempt, err error) pool.Result {
 	switch {
 	case a.gone:
-		return pool.ResultGone
+		return pool.ResultMisplaced
 	case ctx.Err() != nil, a.withdrawn():
-		return pool.ResultUnclear
+		return pool.ResultInconclusive
 	case errors.Is(err, errNotRun) && a.head != nil:
-		return pool.ResultRefused
+		return pool.ResultRejected
 	case errors.Is(err, errNotRun):
 		return pool.ResultUnreachable
 	}
@@ -251,10 +251,10 @@
 	}
 	d := time.Duration(patienceShare * float64(left))
 	if t := q.route.Target(); t > 0 {
-		d = min(d, max(patienceTargets*t, a.use.Patience()))
+		d = min(d, max(patienceTargets*t, a.use.WaitLimit()))
 	}
 	return s.o.Clock.AfterFunc(d, func() {
-		a.use.GivenUp(d)
+		a.use.TimedOut(d)
 		a.stop(errPatience)
 	})
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -29,7 +29,7 @@
 }
 
 // close ends the attempt under way. The caller of a finished stream calls it, too.
-func (t *stream) close() { t.a.end(pool.ResultUnclear) }
+func (t *stream) close() { t.a.end(pool.ResultInconclusive) }
 
 // errWrite says that the caller doesn't take the answer any more.
 var errWrite = errs.NewType("write").New("the caller left")
@@ -158,7 +158,7 @@
 		a, err := t.s.try(t.ctx, t.q, use, t.last)
 		if t.ctx.Err() != nil {
 			if a != nil {
-				a.end(pool.ResultUnclear)
+				a.end(pool.ResultInconclusive)
 			}
 			return event{}, t.ctx.Err()
 		}
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -89,6 +89,6 @@
 		if u := p.Pick(pool.Need{ID: "x", Service: "s"}); u != nil {
 			u.End(pool.ResultGood)
 		}
-		p.ComeBack("s")
+		p.RetryAfter("s")
 	})
 }
--- a/internal/model/spread.go
+++ b/internal/model/spread.go
@@ -132,7 +132,7 @@
 	d := n.book.Digest(now, n.name, version)
 	if p.l.Spread == SpreadPlaced {
 		d.Shares[0].Complete = true
-		n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(hop)) })
+		n.pools.DropReported(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(hop)) })
 	}
 	p.take(n, n, d)
 }
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -6,9 +6,9 @@
 // had what they take.
 // Their order is retry.Turns; here is what there is room for.
 
-// ComeBack returns how long a caller that is turned away now is to stay away, where all upstreams that could
+// RetryAfter returns how long a caller that is turned away now is to stay away, where all upstreams that could
 // take it rest or have had what they take; else 0. Each call takes a turn.
-func (p *Pools) ComeBack(service string) time.Duration {
+func (p *Pools) RetryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
--- a/internal/pool/fetch_test.go
+++ b/internal/pool/fetch_test.go
@@ -26,7 +26,7 @@
 // fetchPoolsAt is such pools by a clock.
 func fetchPoolsAt(c *timer.Manual) *Pools {
 	p := cutPools(c)
-	p.Recall("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
+	p.RestoreEngine("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
 	return p
 }
 
--- a/internal/pool/life_test.go
+++ b/internal/pool/life_test.go
@@ -151,7 +151,7 @@
 func TestBirthThatComesWithTheNextLife(t *testing.T) {
 	p := New(timer.NewManual(start).Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(lifeAt(0, 1, false)) })
-	p.Pick(Need{ID: "x", Service: "s"}).End(ResultGone)
+	p.Pick(Need{ID: "x", Service: "s"}).End(ResultMisplaced)
 	assert.Nil(t, p.Pick(Need{ID: "x", Service: "s"}))
 	p.Update(func(l *List) {
 		l.Put(lifeAt(5, 2, false))
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -74,8 +74,8 @@
 // Revision returns the store's revision up to which the list holds.
 func (l *List) Revision() int64 { return l.revision }
 
-// Change returns the store's revision of the newest change that was taken in.
-func (l *List) Change() int64 { return l.change }
+// LastChange returns the store's revision of the newest change that was taken in.
+func (l *List) LastChange() int64 { return l.change }
 
 // Len returns the number of entries, missing ones included.
 func (l *List) Len() int { return len(l.items) }
@@ -207,9 +207,9 @@
 	l.Delete(now, id)
 }
 
-// Void takes in that an entry can't be read from a revision on: whoever wrote it, its key names
+// MarkUnreadable takes in that an entry can't be read from a revision on: whoever wrote it, its key names
 // no upstream until a sound one stands there. What was known of it isn't forgotten.
-func (l *List) Void(revision int64, id string) {
+func (l *List) MarkUnreadable(revision int64, id string) {
 	l.change = max(l.change, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
 		l.voids[id] = revision
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -47,8 +47,8 @@
 	return list
 }
 
-// Settle drops the requests that were placed for others and that the shares tell of by now.
-func (p *Pools) Settle(told func(node string, at time.Time) bool) {
+// DropReported drops the requests that were placed for others and that the shares tell of by now.
+func (p *Pools) DropReported(told func(node string, at time.Time) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	left := p.pending[:0]
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,10 +16,10 @@
 const (
 	ResultGood        Result = iota
 	ResultFailed             // no whole answer, or an answer that says it failed
-	ResultRefused            // the upstream didn't run it
+	ResultRejected            // the upstream didn't run it
 	ResultUnreachable        // no connection could be made
-	ResultGone               // another upstream has its address
-	ResultUnclear            // it ended for reasons of the caller
+	ResultMisplaced               // another upstream has its address
+	ResultInconclusive            // it ended for reasons of the caller
 )
 
 // Load is what one node has at one upstream.
@@ -173,11 +173,11 @@
 	return p.list.Revision()
 }
 
-// Change returns the store's revision of the list's newest change.
-func (p *Pools) Change() int64 {
+// LastChange returns the store's revision of the list's newest change.
+func (p *Pools) LastChange() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.Change()
+	return p.list.LastChange()
 }
 
 // Missing returns the upstreams that are believed though the store doesn't have them, and how many
--- a/internal/pool/reach_test.go
+++ b/internal/pool/reach_test.go
@@ -34,7 +34,7 @@
 	for i := 0; i < 10; i++ {
 		u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s", Excluded: map[string]bool{"a1": true, "b1": true}})
 		seen = seen || u.Entry().Hall == avoided
-		u.End(ResultUnclear)
+		u.End(ResultInconclusive)
 	}
 	assert.Equal(t, want, seen)
 }
@@ -99,7 +99,7 @@
 		for i := 0; i < 10; i++ {
 			u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s"})
 			assert.NotEqual(t, "a1", u.Entry().ID)
-			u.End(ResultUnclear)
+			u.End(ResultInconclusive)
 		}
 		long()
 		assert.Equal(t, map[string]bool{"a1": true}, p.Lost(nil))
@@ -144,7 +144,7 @@
 	})
 	t.Run("another upstream at the address is proof", func(t *testing.T) {
 		p, q := cutPools(c), cutPools(c)
-		pickFrom(p, "a1").End(ResultGone)
+		pickFrom(p, "a1").End(ResultMisplaced)
 		q.ApplyReachability(p.Reachability())
 		assert.Equal(t, map[string]bool{"a1": true}, q.Lost(nil))
 		assert.Nil(t, pickFrom(p, "a1"), "nothing goes there any more")
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -24,9 +24,9 @@
 // Incarnation names the life that the entry is of.
 func (e Entry) Incarnation() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
 
-// Leave takes in that an upstream has said itself that it leaves. It is the word of the life that
+// MarkLeaving takes in that an upstream has said itself that it leaves. It is the word of the life that
 // the entry names.
-func (l *List) Leave(e Entry) {
+func (l *List) MarkLeaving(e Entry) {
 	v, ok := l.items[e.ID]
 	if ok && v.Entry.another(e) {
 		return
@@ -55,17 +55,17 @@
 	return ok && old.Revision != 0 && era.Of(v.Revision) > era.Of(old.Revision) && era.Number(v.Revision) == era.Number(old.Revision)
 }
 
-// Rest says that an upstream wants nothing from this node for so long, and returns whether that is
+// StartCooldown says that an upstream wants nothing from this node for so long, and returns whether that is
 // new.
-func (p *Pools) Rest(e Entry, d time.Duration) bool {
+func (p *Pools) StartCooldown(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rests.Start(p.clock.Now(), e.Incarnation(), d)
 }
 
-// HearLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
+// ObserveLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
 // takes from all nodes together, and returns whether that is news.
-func (p *Pools) HearLimit(e Entry, l call.Limit, sent time.Time) bool {
+func (p *Pools) ObserveLimit(e Entry, l call.Limit, sent time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch l.Word {
@@ -78,8 +78,8 @@
 	return false
 }
 
-// TakeLimits takes in what another node knows of limits, and returns what is news.
-func (p *Pools) TakeLimits(words []limit.Word) []limit.Word {
+// ApplyLimits takes in what another node knows of limits, and returns what is news.
+func (p *Pools) ApplyLimits(words []limit.Word) []limit.Word {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.Hear(p.clock.Now(), words)
@@ -99,9 +99,9 @@
 	p.limits.SetNodes(nodes, placers)
 }
 
-// Ask tells whether an upstream may be asked something beside requests now, and counts the question against its
+// AllowQuery tells whether an upstream may be asked something beside requests now, and counts the question against its
 // limit.
-func (p *Pools) Ask(e Entry) bool {
+func (p *Pools) AllowQuery(e Entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, l, engine := p.clock.Now(), e.Incarnation(), p.service(e.Service).size.Slots > 0
