--- a/internal/edge/place_test.go
+++ b/internal/edge/place_test.go
@@ -24,7 +24,7 @@
 	p.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
 	clock.Advance(time.Minute)
 	p.ObserveLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, clock.Service().Now())
-	assert.Nil(t, p.Pick(pool.Need{ID: "r", Service: "s", Engine: true}), "its share begins with nothing")
+	assert.Nil(t, p.Pick(pool.Request{ID: "r", Service: "s", Engine: true}), "its share begins with nothing")
 	clock.Advance(time.Second)
 	s := &edgeService{n: &Node{log: zap.NewNop(), pools: p}}
 	left, leave := context.WithCancel(t.Context())
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -92,7 +92,7 @@
 // Place says.
 func (s *Server) pick(ctx context.Context, q *request, tried map[string]bool) *pool.Use {
 	n := s.need(q, tried)
-	n.Fresh = q.tries.Next() == retry.ScopeReachable
+	n.ReachableOnly = q.tries.Next() == retry.ScopeReachable
 	if len(tried) == 0 {
 		if u := s.pickTrial(q, n); u != nil {
 			return u
@@ -160,8 +160,8 @@
 	return &refusal{status: http.StatusBadGateway, reason: reason}
 }
 
-func (s *Server) need(q *request, tried map[string]bool) pool.Need {
-	n := pool.Need{ID: q.meta.ID, Service: q.service, Excluded: tried, Parts: q.meta.Parts, Prompt: float64(q.meta.Prompt), Output: float64(q.meta.Output)}
+func (s *Server) need(q *request, tried map[string]bool) pool.Request {
+	n := pool.Request{ID: q.meta.ID, Service: q.service, Excluded: tried, Parts: q.meta.Parts, Prompt: float64(q.meta.Prompt), Output: float64(q.meta.Output)}
 	if v := q.catalog.Service(q.service); v != nil {
 		n.Engine = v.Engine != nil
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -149,7 +149,7 @@
 			return event{}, cause
 		}
 		n := t.s.need(t.q, tried)
-		n.Fresh = t.q.tries.Next() == retry.ScopeReachable
+		n.ReachableOnly = t.q.tries.Next() == retry.ScopeReachable
 		use := t.s.o.Pools.Pick(n)
 		if use == nil {
 			return event{}, cause
--- a/internal/forward/trial.go
+++ b/internal/forward/trial.go
@@ -18,7 +18,7 @@
 // again at the version in service, so a bad version costs most callers a second.
 
 // pickTrial chooses an upstream of a version on trial, if the request goes there.
-func (s *Server) pickTrial(q *request, n pool.Need) *pool.Use {
+func (s *Server) pickTrial(q *request, n pool.Request) *pool.Use {
 	if !s.o.Trials.Offer(q.service, q.route.Name()) {
 		return nil
 	}
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -26,7 +26,7 @@
 func assertLoads(t *testing.T, list []pool.Load) {
 	t.Helper()
 	for _, l := range list {
-		assert.True(t, l.Running >= 0 && l.Queued >= 0 && l.Held >= 0, "%+v", l)
+		assert.True(t, l.Running >= 0 && l.Queued >= 0 && l.Reserved >= 0, "%+v", l)
 	}
 }
 
@@ -86,7 +86,7 @@
 		}
 		book.Expire(now)
 		book.Digest(now, "n", 0)
-		if u := p.Pick(pool.Need{ID: "x", Service: "s"}); u != nil {
+		if u := p.Pick(pool.Request{ID: "x", Service: "s"}); u != nil {
 			u.End(pool.ResultGood)
 		}
 		p.RetryAfter("s")
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -30,7 +30,7 @@
 func LoadsToWire(l []pool.Load) []*wire.Load {
 	r := make([]*wire.Load, len(l))
 	for i, v := range l {
-		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Held)}
+		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Reserved)}
 	}
 	return r
 }
@@ -40,7 +40,7 @@
 	r := make([]pool.Load, len(l))
 	for i, v := range l {
 		r[i] = pool.Load{
-			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Held: float64(max(0, v.HeldTokens)),
+			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Reserved: float64(max(0, v.HeldTokens)),
 		}
 	}
 	return r
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -21,7 +21,7 @@
 	loads = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Load {
 		return pool.Load{
 			Upstream: names.Draw(t, "upstream"), Running: rapid.IntRange(0, 1000).Draw(t, "running"),
-			Queued: float64(rapid.IntRange(0, 1e6).Draw(t, "queued")), Held: float64(rapid.IntRange(0, 1e6).Draw(t, "held")),
+			Queued: float64(rapid.IntRange(0, 1e6).Draw(t, "queued")), Reserved: float64(rapid.IntRange(0, 1e6).Draw(t, "held")),
 		}
 	}), 0, 3)
 	placed = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Placement {
--- a/internal/model/spread.go
+++ b/internal/model/spread.go
@@ -79,7 +79,7 @@
 }
 
 // pick chooses an engine for a request of a node.
-func (p *play) pick(n *node, need pool.Need) *pool.Use {
+func (p *play) pick(n *node, need pool.Request) *pool.Use {
 	if p.l.Spread == SpreadPlaced {
 		if h := p.named(relay.Homes(n.name, p.hallOf(n.hall))[0]); h != n {
 			return n.pools.PickAt(need, h.pools.PlaceFor(n.name, need))
--- a/internal/pool/fetch_test.go
+++ b/internal/pool/fetch_test.go
@@ -11,8 +11,8 @@
 )
 
 // shared is a request whose first part others have, too.
-func shared(id string, own uint64) Need {
-	return Need{ID: id, Service: "s", Engine: true, Prompt: 6000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 5000}, {ID: own, Tokens: 1000}}}
+func shared(id string, own uint64) Request {
+	return Request{ID: id, Service: "s", Engine: true, Prompt: 6000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 }
 
 // fetchPools is two halls of two engines that read 30 tokens a millisecond; rate is that of
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -29,13 +29,13 @@
 }
 
 // only is a need that the other upstream can't take.
-func only() Need { return Need{ID: "r", Service: "s", Excluded: map[string]bool{"b": true}} }
+func only() Request { return Request{ID: "r", Service: "s", Excluded: map[string]bool{"b": true}} }
 
 func TestLimitedUpstreams(t *testing.T) {
 	t.Run("aren't in the choice until there is room", func(t *testing.T) {
 		p, clock, _ := limited(t)
 		assert.Nil(t, p.Pick(only()))
-		u := p.Pick(Need{ID: "r", Service: "s"})
+		u := p.Pick(Request{ID: "r", Service: "s"})
 		assert.Equal(t, "b", u.Entry().ID)
 		assert.Equal(t, 1, u.Choice().Limited)
 		clock.Advance(time.Second)
--- a/internal/pool/others.go
+++ b/internal/pool/others.go
@@ -95,8 +95,8 @@
 			aged += float64(l.Running) * float64(age) / float64(time.Millisecond)
 		}
 		holds := math.Exp(-float64(age) / float64(time.Millisecond) / lasts)
-		m.others.add(holds, float64(l.Running), drained(e, l.Queued, age), l.Held)
-		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Held)
+		m.others.add(holds, float64(l.Running), drained(e, l.Queued, age), l.Reserved)
+		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Reserved)
 	}
 	for node, v := range p.peers {
 		if age := now.Sub(v.at); age <= peerKeeps && !p.covers(now, node) {
--- a/internal/pool/others_test.go
+++ b/internal/pool/others_test.go
@@ -14,7 +14,7 @@
 func othersAt(age time.Duration) (there, elsewhere othersLoad) {
 	c := timer.NewManual(start)
 	p := cutPools(c)
-	p.ApplyReport("other", []Load{{Upstream: "a1", Running: 8, Queued: 3000, Held: 8000}}, nil, nil)
+	p.ApplyReport("other", []Load{{Upstream: "a1", Running: 8, Queued: 3000, Reserved: 8000}}, nil, nil)
 	c.Advance(age)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -21,7 +21,7 @@
 
 // PlaceFor chooses an upstream for a request of another node, and counts it there. It returns
 // the upstream's id, or nothing if there is none.
-func (p *Pools) PlaceFor(node string, n Need) string {
+func (p *Pools) PlaceFor(node string, n Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -30,7 +30,7 @@
 		return ""
 	}
 	p.limits.Take(now, v.member.entry.Incarnation(), n.Engine)
-	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Held: n.Prompt + n.Output}
+	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Reserved: n.Prompt + n.Output}
 	p.pending = append(p.pending, pending{node: node, at: now, load: l})
 	p.place(now, v.member, n.Parts)
 	return l.Upstream
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -27,7 +27,7 @@
 	Upstream string
 	Running  int
 	Queued   float64 // prompt tokens without a first token
-	Held     float64 // tokens of memory
+	Reserved     float64 // tokens of memory
 }
 
 // Placement says that an upstream read a prompt prefix.
--- a/internal/pool/reach_test.go
+++ b/internal/pool/reach_test.go
@@ -24,7 +24,7 @@
 func pickFrom(p *Pools, id string) *Use {
 	ex := map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true}
 	delete(ex, id)
-	return p.Pick(Need{ID: "x", Service: "s", Excluded: ex})
+	return p.Pick(Request{ID: "x", Service: "s", Excluded: ex})
 }
 
 // assertHall checks in which halls ten requests, ended at once, are sent.
@@ -32,7 +32,7 @@
 	t.Helper()
 	seen := false
 	for i := 0; i < 10; i++ {
-		u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s", Excluded: map[string]bool{"a1": true, "b1": true}})
+		u := p.Pick(Request{ID: string(rune('a' + i)), Service: "s", Excluded: map[string]bool{"a1": true, "b1": true}})
 		seen = seen || u.Entry().Hall == avoided
 		u.End(ResultInconclusive)
 	}
@@ -97,7 +97,7 @@
 		p.ApplyReachability(told(2, nil, "a1"))
 		assert.Empty(t, p.Lost(nil), "it may be a cut")
 		for i := 0; i < 10; i++ {
-			u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s"})
+			u := p.Pick(Request{ID: string(rune('a' + i)), Service: "s"})
 			assert.NotEqual(t, "a1", u.Entry().ID)
 			u.End(ResultInconclusive)
 		}
--- a/internal/pool/says_test.go
+++ b/internal/pool/says_test.go
@@ -127,7 +127,7 @@
 	t.Run("a relay's word doesn't go past it", func(t *testing.T) {
 		_, p := newPools()
 		rest(p, "a1", time.Second)
-		u := p.PickAt(Need{ID: "x", Service: "s"}, "a1")
+		u := p.PickAt(Request{ID: "x", Service: "s"}, "a1")
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
 	t.Run("nor is it the last resort when all others are ejected", func(t *testing.T) {
@@ -138,7 +138,7 @@
 				pickFrom(p, id).End(ResultFailed)
 			}
 		}
-		u := p.Pick(Need{ID: "x", Service: "s"})
+		u := p.Pick(Request{ID: "x", Service: "s"})
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
 	t.Run("an entry that lapses and comes again rests on", func(t *testing.T) {
--- a/internal/pool/unborn_test.go
+++ b/internal/pool/unborn_test.go
@@ -130,14 +130,14 @@
 	c := timer.NewManual(start)
 	p := New(c.Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(lifeAt(0, 1, false)) })
-	u := p.Pick(Need{ID: "x", Service: "s"})
+	u := p.Pick(Request{ID: "x", Service: "s"})
 	p.ObserveLimit(u.Entry(), call.Limit{Word: call.LimitNamed, Rate: 1}, start)
 	p.StartCooldown(u.Entry(), time.Hour)
 	u.End(ResultMisplaced)
 	p.Update(func(l *List) { l.Put(lifeAt(0, 2, true)) })
-	assert.Nil(t, p.Pick(Need{ID: "x", Service: "s"}))
+	assert.Nil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	p.Update(func(l *List) { l.Put(lifeAt(0, 3, false)) })
-	v := p.Pick(Need{ID: "x", Service: "s"})
+	v := p.Pick(Request{ID: "x", Service: "s"})
 	if assert.NotNil(t, v, "its address is its own again, and it asked for no rest") {
 		assert.Equal(t, 0, v.Choice().Running)
 	}
@@ -146,6 +146,6 @@
 		p.Update(func(l *List) { l.Delete(start, "a") })
 		p.Update(func(l *List) { l.Expire(start.Add(lapseGrace)) })
 		p.Update(func(l *List) { l.Put(lifeAt(0, 4, false)) })
-		assert.NotNil(t, p.Pick(Need{ID: "x", Service: "s"}))
+		assert.NotNil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	})
 }
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -45,7 +45,7 @@
 	Slowness   float64       // times as long as usual that its answers are taken to last
 	Revision   int64         // of the list
 	ByRelay    bool          // a relay chose it
-	Oldest     time.Duration // age of the oldest report of another node that counted
+	OldestReport     time.Duration // age of the oldest report of another node that counted
 }
 
 // Choice returns what the upstream was chosen by.
@@ -147,7 +147,7 @@
 		u.learn()
 	}
 	u.m.load.Running--
-	u.m.load.Held -= u.held
+	u.m.load.Reserved -= u.held
 	u.judge(r)
 }
 
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -209,7 +209,7 @@
 		v.Upstream = l.Upstream
 		v.Running += l.Running
 		v.Queued += l.Queued
-		v.Held += l.Held
+		v.Reserved += l.Reserved
 		s.loads[l.Upstream] = v
 		s.aged += age * time.Duration(l.Running)
 		s.runs += l.Running
