--- a/internal/pool/choose.go
+++ b/internal/pool/choose.go
@@ -29,7 +29,7 @@
 	SameHall bool
 	Running  float64 // requests there now, of all nodes
 	Queued   float64 // prompt tokens there without a first token
-	Reserved     float64 // tokens of memory that running requests take
+	Reserved float64 // tokens of memory that running requests take
 	Memory   float64 // tokens; 0: unknown
 	Cached   float64 // tokens of this prompt that are likely cached
 	Fetch    float64 // tokens beyond these that it could take from another upstream
@@ -37,7 +37,7 @@
 	Source   string  // the other upstream's address
 	Slowness float64 // of its answers relative to the pool's, 1 is usual
 	Failures float64 // share of recent requests that failed
-	Full  bool    // said that it is full a moment ago
+	Full     bool    // said that it is full a moment ago
 	Cold     bool    // warming up
 	// Unreachable says that it, or others of its hall, couldn't be reached a moment ago.
 	Unreachable bool
@@ -45,22 +45,22 @@
 
 // Request is what is known of the request and of the service that it goes to.
 type Request struct {
-	ID       string
-	Service  string
-	Prompt   float64 // tokens
-	Output   float64
-	Parts    []call.Part
-	Engine   bool // the service has engines
-	Trial    bool // it goes to an upstream of a roll-out's target that is on trial
-	Excluded map[string]bool
-	ReachableOnly    bool   // only upstreams that this node hasn't failed to reach lately
-	placed   string // the upstream that a relay has chosen, which has counted it against that one's limit
+	ID            string
+	Service       string
+	Prompt        float64 // tokens
+	Output        float64
+	Parts         []call.Part
+	Engine        bool // the service has engines
+	Trial         bool // it goes to an upstream of a roll-out's target that is on trial
+	Excluded      map[string]bool
+	ReachableOnly bool   // only upstreams that this node hasn't failed to reach lately
+	placed        string // the upstream that a relay has chosen, which has counted it against that one's limit
 }
 
 // Service is what was learned of a service, as a choice needs it.
 type Service struct {
-	Engine capacity.Engine // of one with engines
-	ResponseMs float64         // milliseconds to an answer's head, of one without
+	Engine       capacity.Engine // of one with engines
+	ResponseMs   float64         // milliseconds to an answer's head, of one without
 	UnreportedMs float64         // milliseconds of work that others have sent to an upstream since their last word
 }
 
@@ -74,14 +74,14 @@
 	occupiedMs = 170.0
 	// plainFull is what a plain upstream costs whose slots are all taken, in answers' times:
 	// its queue of the requests that other nodes have sent since they reported.
-	plainFull     = 4.0
-	memoryShare   = 0.9    // of an engine's memory that is used without a penalty
-	memoryWeight  = 4.0    // tokens read a token over that share: each may cost a re-read or two
-	fullMs        = 1300.0 // an upstream that is full or can't be reached is asked last
-	coldMs        = 330.0  // one that warms up, before one that is full
-	homeMs        = 6.0    // settles where a new prefix goes: all nodes name the same upstream
-	failureWeight = 8.0    // a share of failures of an eighth doubles the cost
-	baseMs        = 30.0   // what slowness and failures are a part of where nothing is to be read
+	plainFullFactor = 4.0
+	memoryShare     = 0.9    // of an engine's memory that is used without a penalty
+	memoryWeight    = 4.0    // tokens read a token over that share: each may cost a re-read or two
+	unavailableMs   = 1300.0 // an upstream that is full or can't be reached is asked last
+	warmUpMs        = 330.0  // one that warms up, before one that is full
+	homeBonusMs     = 6.0    // settles where a new prefix goes: all nodes name the same upstream
+	failureWeight   = 8.0    // a share of failures of an eighth doubles the cost
+	baseMs          = 30.0   // what slowness and failures are a part of where nothing is to be read
 )
 
 // Pick returns the index of the cheapest candidate, or -1 if there is none.
@@ -93,9 +93,9 @@
 		if n.Excluded[c.ID] {
 			continue
 		}
-		x := cost(n, s, c) + unseenMost*s.UnreportedMs*luck(n.ID, c.ID)
+		x := cost(n, s, c) + maxUnreportedFactor*s.UnreportedMs*randomTieBreak(n.ID, c.ID)
 		if i == home {
-			x -= homeMs
+			x -= homeBonusMs
 		}
 		if x < least || x == least && c.ID < list[best].ID { // the same one on every node
 			best, least = i, x
@@ -109,16 +109,16 @@
 	if n.Engine {
 		x += engineCost(n, s.Engine, c)
 	} else {
-		x += plainFull * s.ResponseMs * c.occupied()
+		x += plainFullFactor * s.ResponseMs * c.occupied()
 	}
 	if !c.SameHall {
 		x += otherHallMs
 	}
 	if c.Unreachable || c.Full || c.Slots > 0 && c.Running >= float64(c.Slots) {
-		x += fullMs
+		x += unavailableMs
 	}
 	if c.Cold {
-		x += coldMs
+		x += warmUpMs
 	}
 	return x * c.Slowness * (1 + failureWeight*c.Failures)
 }
@@ -126,7 +126,7 @@
 func engineCost(n Request, e capacity.Engine, c *Candidate) float64 {
 	tokens := c.Queued + math.Max(0, n.Prompt-c.Cached)
 	wait := 0.0
-	if c.fetches(e) {
+	if c.fetchIsFaster(e) {
 		tokens -= c.Fetch
 		wait = c.FetchMs
 	}
@@ -183,7 +183,7 @@
 }
 
 // drained is what is left of a queue of tokens that was reported a while ago.
-func drained(e capacity.Engine, tokens float64, age time.Duration) float64 {
+func remainingQueue(e capacity.Engine, tokens float64, age time.Duration) float64 {
 	waits := e.Read(tokens)
 	if waits <= 0 {
 		return 0
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -16,12 +16,12 @@
 	var places, pace float64 // of all nodes; pace is in requests a second
 	soonest := time.Duration(0)
 	for _, m := range p.services[service] {
-		if m.entry.Leaving || m.gone {
+		if m.entry.Leaving || m.misplaced {
 			continue
 		}
 		l := m.entry.Incarnation()
 		rate, limited := p.limits.Rate(now, l)
-		wait := p.rests.Remaining(now, l)
+		wait := p.cooldowns.Remaining(now, l)
 		if limited {
 			wait = max(wait, p.limits.Wait(now, l, s.size.Slots > 0))
 		}
@@ -31,7 +31,7 @@
 		if soonest == 0 || wait < soonest {
 			soonest = wait
 		}
-		ends := float64(m.entry.Slots) * 1000 / s.lasts
+		ends := float64(m.entry.Slots) * 1000 / s.durationMs
 		if limited && rate < ends {
 			pace += rate
 			continue
@@ -43,17 +43,17 @@
 		return 0
 	}
 	nodes := float64(p.nodes(now))
-	return s.turns.Next(now, soonest, places/nodes, pace/nodes)
+	return s.returns.Next(now, soonest, places/nodes, pace/nodes)
 }
 
 // nodes is how many nodes share the upstreams, this one included: those that were heard of lately.
 func (p *Pools) nodes(now time.Time) int {
 	n := 1
-	if now.Sub(p.shared) <= sharesKeep {
+	if now.Sub(p.peerLoadsAt) <= peerLoadTTL {
 		n += len(p.covered)
 	}
-	for name, v := range p.peers {
-		if now.Sub(v.at) <= peerKeeps && !p.covers(now, name) {
+	for name, v := range p.reports {
+		if now.Sub(v.at) <= peerReportTTL && !p.covers(now, name) {
 			n++
 		}
 	}
--- a/internal/pool/comeback_test.go
+++ b/internal/pool/comeback_test.go
@@ -14,7 +14,7 @@
 )
 
 // resting is pools of nodes that see the same upstreams, all of which have asked each node for rest.
-func resting(clock *timer.Manual, nodes, upstreams, slots int, rest time.Duration) []*Pools {
+func coolingPools(clock *timer.Manual, nodes, upstreams, slots int, rest time.Duration) []*Pools {
 	var list []*Pools
 	for i := range nodes {
 		p := New(clock.Service(), "self", "h")
@@ -37,7 +37,7 @@
 }
 
 // most returns the most of some moments that lie in a span of that length.
-func most(moments []time.Duration, span time.Duration) int {
+func maxInSpan(moments []time.Duration, span time.Duration) int {
 	slices.Sort(moments)
 	n, first := 0, 0
 	for i, m := range moments {
@@ -52,12 +52,12 @@
 // TestCallersComeBackInOrder: while all upstreams rest for a second, callers are turned away, 400 in all, at three
 // nodes that can't ask each other. Ten upstreams of eight slots serve 80 at once, and as many more in each second
 // that a request lasts. Told the same moment, all 400 came back in one.
-func TestCallersComeBackInOrder(t *testing.T) {
+func TestReturnTimesAreSpread(t *testing.T) {
 	const rest, callers = time.Second, 400
 	for _, nodes := range []int{1, 3} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			clock := timer.NewManual(start)
-			pools := resting(clock, nodes, 10, 8, rest)
+			pools := coolingPools(clock, nodes, 10, 8, rest)
 			var back []time.Duration
 			for i := range callers {
 				at := time.Duration(i) * rest / callers
@@ -69,31 +69,31 @@
 			}
 			slices.Sort(back)
 			assert.Equal(t, rest, back[80-nodes], "nor is a place left idle: as many come at once as there are")
-			assert.LessOrEqual(t, most(back, 500*time.Millisecond), 80+40+nodes)
+			assert.LessOrEqual(t, maxInSpan(back, 500*time.Millisecond), 80+40+nodes)
 		})
 	}
 	t.Run("more than the spread holds come evenly", func(t *testing.T) {
-		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
 		var back []time.Duration
 		for range 3 * callers {
 			back = append(back, p.RetryAfter("s"))
 		}
 		assert.LessOrEqual(t, slices.Max(back), rest+retry.MaxReturnSpread)
-		assert.LessOrEqual(t, most(back, 500*time.Millisecond), 80+3*40)
+		assert.LessOrEqual(t, maxInSpan(back, 500*time.Millisecond), 80+3*40)
 	})
 	t.Run("a single caller is told the end of the rest", func(t *testing.T) {
-		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
 		assert.Equal(t, rest, p.RetryAfter("s"))
 	})
 	t.Run("one that doesn't rest", func(t *testing.T) {
-		p := resting(timer.NewManual(start), 1, 2, 8, rest)[0]
+		p := coolingPools(timer.NewManual(start), 1, 2, 8, rest)[0]
 		p.Update(func(l *List) {
 			l.Put(Item{Entry: Entry{ID: "v", Service: "s", Address: "10.0.0.1:2", Slots: 8}, Revision: 2})
 		})
 		assert.Zero(t, p.RetryAfter("s"))
 	})
 	t.Run("nodes that a relay tells of share the places, too", func(t *testing.T) {
-		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
 		p.ApplyPeerLoads(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
 		for range 80 / 4 {
 			assert.Equal(t, rest, p.RetryAfter("s"))
@@ -102,7 +102,7 @@
 	})
 	t.Run("the next rest begins anew", func(t *testing.T) {
 		clock := timer.NewManual(start)
-		p := resting(clock, 1, 10, 8, rest)[0]
+		p := coolingPools(clock, 1, 10, 8, rest)[0]
 		for range callers {
 			p.RetryAfter("s")
 		}
--- a/internal/pool/fetch.go
+++ b/internal/pool/fetch.go
@@ -17,13 +17,13 @@
 	// fetchMs is what a fetch takes besides its tokens: a round trip and the set-up.
 	fetchMs = 6.0
 	// fetchFar is how much longer a fetch between halls takes.
-	fetchFar = 2.0
+	farFetchFactor = 2.0
 )
 
 // sources notes for each candidate where it could take more of the prompt from: the one that
 // has most of it cached, of its own hall if that has one which has as much. rate is in tokens
 // a millisecond.
-func sources(rate float64, members []*member, list []Candidate) {
+func setFetchSources(rate float64, members []*member, list []Candidate) {
 	best, near := -1, make(map[string]int)
 	for i := range list {
 		c := &list[i]
@@ -41,7 +41,7 @@
 		return
 	}
 	for i := range list {
-		c, k, far := &list[i], best, fetchFar
+		c, k, far := &list[i], best, farFetchFactor
 		if v, ok := near[members[i].entry.Hall]; ok && list[v].Cached >= list[best].Cached {
 			k, far = v, 1
 		}
@@ -52,6 +52,6 @@
 
 // fetches tells whether taking cached parts from another engine is quicker than reading
 // them again.
-func (c *Candidate) fetches(e capacity.Engine) bool {
+func (c *Candidate) fetchIsFaster(e capacity.Engine) bool {
 	return c.Fetch > 0 && c.FetchMs < e.Read(c.Fetch)
 }
--- a/internal/pool/fetch_test.go
+++ b/internal/pool/fetch_test.go
@@ -25,7 +25,7 @@
 
 // fetchPoolsAt is such pools by a clock.
 func fetchPoolsAt(c *timer.Manual) *Pools {
-	p := cutPools(c)
+	p := twoHalls(c)
 	p.RestoreEngine("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
 	return p
 }
@@ -76,11 +76,11 @@
 	t.Run("from the own hall, if it has as much", func(t *testing.T) {
 		members := []*member{{entry: Entry{Hall: "a", Address: "a1"}}, {entry: Entry{Hall: "b", Address: "b1"}}, {entry: Entry{Hall: "b", Address: "b2"}}}
 		list := []Candidate{{Cached: 5000}, {Cached: 5000}, {}}
-		sources(1000, members, list)
+		setFetchSources(1000, members, list)
 		assert.Equal(t, "b1", list[2].Source)
 		assert.Equal(t, fetchMs+5, list[2].FetchMs)
 		list = []Candidate{{Cached: 5000}, {Cached: 3000}, {}}
-		sources(1000, members, list)
+		setFetchSources(1000, members, list)
 		assert.Equal(t, "a1", list[2].Source)
 		assert.Equal(t, fetchMs+2*5, list[2].FetchMs)
 	})
--- a/internal/pool/held.go
+++ b/internal/pool/held.go
@@ -19,7 +19,7 @@
 
 // heldLimit bounds the parts of one engine that are taken in, the longest ones: the last
 // part of each prompt is listed, too, and hardly any is asked for again.
-const heldLimit = 64
+const maxCachedParts = 64
 
 // ApplyCachedParts takes in the prompt parts that an engine has cached, and passes them on in reports.
 func (p *Pools) ApplyCachedParts(upstream string, parts []call.Part) {
@@ -28,16 +28,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for _, v := range parts[:min(len(parts), heldLimit)] {
-		place := Placement{Prefix: heldKey(v.ID), Upstream: upstream}
-		p.learnPlaced(now, []Placement{place})
-		if len(p.placed) < placedLimit {
-			p.placed = append(p.placed, placing{now, place})
+	for _, v := range parts[:min(len(parts), maxCachedParts)] {
+		place := Placement{Prefix: partKey(v.ID), Upstream: upstream}
+		p.applyPlacements(now, []Placement{place})
+		if len(p.placements) < maxPlacements {
+			p.placements = append(p.placements, timedPlacement{now, place})
 		}
 	}
 }
 
 // heldKey is a part by itself as a key beside those of prefixes.
-func heldKey(part uint64) uint64 {
+func partKey(part uint64) uint64 {
 	return xxhash.Sum64(append([]byte("held"), appendHash(nil, part)...))
 }
--- a/internal/pool/learn.go
+++ b/internal/pool/learn.go
@@ -12,13 +12,13 @@
 // engine returns what is known of a service's engines.
 func (p *Pools) engine(now time.Time, name string) capacity.Engine {
 	s := p.service(name)
-	if now.Sub(s.merged) < mergeEvery {
+	if now.Sub(s.mergedAt) < mergeEvery {
 		return s.engine
 	}
-	s.merged = now
+	s.mergedAt = now
 	all := []capacity.Engine{s.learner.Engine(now)}
-	for _, v := range p.peers {
-		if e, ok := v.engines[name]; ok && now.Sub(v.at) <= peerKeeps {
+	for _, v := range p.reports {
+		if e, ok := v.engines[name]; ok && now.Sub(v.at) <= peerReportTTL {
 			all = append(all, e)
 		}
 	}
@@ -42,7 +42,7 @@
 	defer p.mu.Unlock()
 	s := p.service(service)
 	s.learner.Recall(e)
-	s.merged = time.Time{}
+	s.mergedAt = time.Time{}
 }
 
 // Learned returns what this node itself has learned, by service.
@@ -51,7 +51,7 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	r := make(map[string]capacity.Engine)
-	for name, s := range p.known {
+	for name, s := range p.serviceStats {
 		if e := s.learner.Engine(now); e.Reading > 0 || e.Token > 0 {
 			r[name] = e
 		}
@@ -64,7 +64,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := make(map[string]capacity.Work)
-	for name, s := range p.known {
+	for name, s := range p.serviceStats {
 		if s.work != (capacity.Work{}) {
 			r[name] = s.work
 		}
--- a/internal/pool/life_test.go
+++ b/internal/pool/life_test.go
@@ -11,7 +11,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-func lifeAt(born, revision int64, leaving bool) Item {
+func incarnationAt(born, revision int64, leaving bool) Item {
 	v := item("a", revision)
 	v.Entry.Born, v.Entry.Leaving, v.Entry.Declared = born, leaving, leaving
 	return v
@@ -21,7 +21,7 @@
 // of day steps back in between. Whatever words of them come in whatever order and how often,
 // the newest life's newest word is what is held, and a life that was followed by another one
 // never comes back.
-func TestAnyOrderOfLives(t *testing.T) {
+func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var words []Item
 		revision := int64(0)
@@ -32,7 +32,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "words") {
 				revision++
 				leaving = leaving || rapid.Bool().Draw(t, "leaving")
-				words = append(words, lifeAt(b, revision, leaving))
+				words = append(words, incarnationAt(b, revision, leaving))
 			}
 		}
 		newest := words[len(words)-1]
@@ -48,7 +48,7 @@
 }
 
 // TestLives is what a new life under an old id is and isn't.
-func TestLives(t *testing.T) {
+func TestIncarnations(t *testing.T) {
 	held := func(l *List) Entry {
 		var e Entry
 		l.Items(func(v Item) { e = v.Entry })
@@ -56,58 +56,58 @@
 	}
 	t.Run("one that comes back after it was leaving is used", func(t *testing.T) {
 		l := NewList()
-		l.Put(lifeAt(1, 1, true))
-		l.Put(lifeAt(2, 2, false))
+		l.Put(incarnationAt(1, 1, true))
+		l.Put(incarnationAt(2, 2, false))
 		assert.False(t, held(l).Leaving)
 	})
 	t.Run("a write of the life before, done late", func(t *testing.T) {
 		l := NewList()
-		l.Put(lifeAt(1, 1, false))
-		l.Put(lifeAt(2, 2, false))
-		l.Put(lifeAt(1, 3, true))
+		l.Put(incarnationAt(1, 1, false))
+		l.Put(incarnationAt(2, 2, false))
+		l.Put(incarnationAt(1, 3, true))
 		assert.Equal(t, int64(2), held(l).Born)
 		assert.False(t, held(l).Leaving)
 	})
 	t.Run("also after its entry went", func(t *testing.T) {
 		l := NewList()
-		l.Put(lifeAt(1, 1, false))
-		l.Put(lifeAt(2, 2, false))
+		l.Put(incarnationAt(1, 1, false))
+		l.Put(incarnationAt(2, 2, false))
 		l.Delete(start, "a")
-		l.Put(lifeAt(1, 3, false))
-		l.Put(lifeAt(1, 3, false)) // told twice
-		l.Put(lifeAt(1, 4, false))
+		l.Put(incarnationAt(1, 3, false))
+		l.Put(incarnationAt(1, 3, false)) // told twice
+		l.Put(incarnationAt(1, 4, false))
 		assertListed(t, l)
 	})
 	t.Run("one that was taken for the life before goes on writing", func(t *testing.T) {
 		l := NewList()
-		l.Put(lifeAt(2, 2, false)) // this list saw nothing of life 1, of which a write is done late
-		l.Put(lifeAt(1, 3, false))
-		for i := range int64(lateWrites + 1) {
-			l.Put(lifeAt(2, 4+i, false))
+		l.Put(incarnationAt(2, 2, false)) // this list saw nothing of life 1, of which a write is done late
+		l.Put(incarnationAt(1, 3, false))
+		for i := range int64(maxLateWrites + 1) {
+			l.Put(incarnationAt(2, 4+i, false))
 		}
 		assert.Equal(t, int64(2), held(l).Born)
 	})
 	t.Run("an entry that doesn't say its birth is of the life held", func(t *testing.T) {
 		l := NewList()
-		l.Put(lifeAt(1, 1, true))
-		l.Put(lifeAt(0, 2, false))
+		l.Put(incarnationAt(1, 1, true))
+		l.Put(incarnationAt(0, 2, false))
 		assert.True(t, held(l).Leaving)
 	})
 	t.Run("the lives remembered are bounded", func(t *testing.T) {
 		l := NewList()
-		for i := range int64(5 * livesKept) {
-			l.Put(lifeAt(i+1, i+1, false))
+		for i := range int64(5 * maxPastIncarnations) {
+			l.Put(incarnationAt(i+1, i+1, false))
 		}
-		assert.LessOrEqual(t, len(l.past["a"]), livesKept)
+		assert.LessOrEqual(t, len(l.past["a"]), maxPastIncarnations)
 	})
 }
 
 // TestNewLifeBeginsAnew: nothing of what is known of a life is taken over by the next one under
 // its id.
-func TestNewLifeBeginsAnew(t *testing.T) {
+func TestNewIncarnationStartsFresh(t *testing.T) {
 	clock := timer.NewManual(start)
 	p := New(clock.Service(), "self", "h")
-	p.Update(func(l *List) { l.Put(lifeAt(1, 1, false)) })
+	p.Update(func(l *List) { l.Put(incarnationAt(1, 1, false)) })
 	u := p.Pick(Request{Service: "s"})
 	for range 5 {
 		v := p.Pick(Request{Service: "s"})
@@ -115,7 +115,7 @@
 	}
 	p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true}}})
 	assert.Nil(t, p.Pick(Request{Service: "s"}), "its address is another's")
-	changes := p.Update(func(l *List) { l.Put(lifeAt(2, 2, false)) })
+	changes := p.Update(func(l *List) { l.Put(incarnationAt(2, 2, false)) })
 	events := []string{}
 	for _, c := range changes {
 		events = append(events, c.Event)
@@ -148,14 +148,14 @@
 // What was seen, once, beside load: an upstream was never used again that another one had answered for.
 // Cause: what a node knows of an upstream is dropped when the entry that it knows and the list's are
 // known to be of two lives, and one without a birth isn't known to be.
-func TestBirthThatComesWithTheNextLife(t *testing.T) {
+func TestStartTimeArrivesWithNextIncarnation(t *testing.T) {
 	p := New(timer.NewManual(start).Service(), "self", "h")
-	p.Update(func(l *List) { l.Put(lifeAt(0, 1, false)) })
+	p.Update(func(l *List) { l.Put(incarnationAt(0, 1, false)) })
 	p.Pick(Request{ID: "x", Service: "s"}).End(ResultMisplaced)
 	assert.Nil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	p.Update(func(l *List) {
-		l.Put(lifeAt(5, 2, false))
-		l.Put(lifeAt(6, 3, false))
+		l.Put(incarnationAt(5, 2, false))
+		l.Put(incarnationAt(6, 3, false))
 	})
 	assert.NotNil(t, p.Pick(Request{ID: "x", Service: "s"}))
 }
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -29,36 +29,36 @@
 }
 
 // only is a need that the other upstream can't take.
-func only() Request { return Request{ID: "r", Service: "s", Excluded: map[string]bool{"b": true}} }
+func onlyA() Request { return Request{ID: "r", Service: "s", Excluded: map[string]bool{"b": true}} }
 
 func TestLimitedUpstreams(t *testing.T) {
 	t.Run("aren't in the choice until there is room", func(t *testing.T) {
 		p, clock, _ := limited(t)
-		assert.Nil(t, p.Pick(only()))
+		assert.Nil(t, p.Pick(onlyA()))
 		u := p.Pick(Request{ID: "r", Service: "s"})
 		assert.Equal(t, "b", u.Entry().ID)
 		assert.Equal(t, 1, u.Choice().Limited)
 		clock.Advance(time.Second)
-		require.NotNil(t, p.Pick(only()))
-		assert.Nil(t, p.Pick(only()), "each request counts")
+		require.NotNil(t, p.Pick(onlyA()))
+		assert.Nil(t, p.Pick(onlyA()), "each request counts")
 	})
 	t.Run("what didn't arrive doesn't count", func(t *testing.T) {
 		for _, r := range []Result{ResultUnreachable, ResultMisplaced, ResultRejected, ResultFailed} {
 			p, clock, e := limited(t)
 			clock.Advance(time.Second)
-			p.Pick(only()).End(r)
+			p.Pick(onlyA()).End(r)
 			assert.Equal(t, r == ResultUnreachable || r == ResultMisplaced, p.AllowQuery(e["a"]), "result %d", r)
 		}
 	})
 	t.Run("what a relay places counts there, and not at the node", func(t *testing.T) {
 		p, clock, _ := limited(t)
 		clock.Advance(time.Second)
-		assert.Equal(t, "a", p.PlaceFor("n", only()))
-		assert.Empty(t, p.PlaceFor("n", only()))
-		u := p.PickAt(only(), "a")
+		assert.Equal(t, "a", p.PlaceFor("n", onlyA()))
+		assert.Empty(t, p.PlaceFor("n", onlyA()))
+		u := p.PickAt(onlyA(), "a")
 		require.NotNil(t, u, "though this one has no share")
 		u.End(ResultUnreachable)
-		assert.Nil(t, p.Pick(only()), "nor is it given back here")
+		assert.Nil(t, p.Pick(onlyA()), "nor is it given back here")
 	})
 	t.Run("questions count, and rest holds for them", func(t *testing.T) {
 		p, clock, e := limited(t)
@@ -73,9 +73,9 @@
 		p, clock, e := limited(t)
 		clock.Advance(time.Millisecond)
 		assert.False(t, p.ObserveLimit(e["a"], call.Limit{Word: call.LimitUnclear}, clock.Service().Now()))
-		assert.Nil(t, p.Pick(only()))
+		assert.Nil(t, p.Pick(onlyA()))
 		assert.True(t, p.ObserveLimit(e["a"], call.Limit{Word: call.LimitNone}, clock.Service().Now()))
-		assert.NotNil(t, p.Pick(only()))
+		assert.NotNil(t, p.Pick(onlyA()))
 	})
 	t.Run("callers are told when to come, one after the other", func(t *testing.T) {
 		p, _, e := limited(t)
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -26,19 +26,19 @@
 
 // Entry is what an upstream's own entry says.
 type Entry struct {
-	ID          string // an upstream that comes back may have the one that it had
-	Born        int64  // Unix milliseconds of its start, which tell one life from another; 0: unsaid
-	Service     string
-	Address     string
-	Hall        string
-	Version     string        // of its software
-	Slots       int           // requests that it works on at once
-	Leaving     bool          // takes nothing new
-	Declared    bool          // its entry says so itself
-	StartRevision       int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
-	WarmUp      time.Duration // it is slow for so long
-	Reclaimable bool
-	LeavesIn    time.Duration // 0: unsaid
+	ID            string // an upstream that comes back may have the one that it had
+	Born          int64  // Unix milliseconds of its start, which tell one life from another; 0: unsaid
+	Service       string
+	Address       string
+	Hall          string
+	Version       string        // of its software
+	Slots         int           // requests that it works on at once
+	Leaving       bool          // takes nothing new
+	Declared      bool          // its entry says so itself
+	StartRevision int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
+	WarmUp        time.Duration // it is slow for so long
+	Reclaimable   bool
+	LeavesIn      time.Duration // 0: unsaid
 }
 
 // Item is an entry with the store's revision of its last change.
@@ -54,21 +54,21 @@
 
 // List is the upstreams as the store tells them. It isn't safe for concurrent use.
 type List struct {
-	items    map[string]Item
-	missing  map[string]time.Time  // by id: until when a missing entry is believed
-	voids    map[string]int64      // by id: revision at which its entry couldn't be read any more
-	past     map[string][]pastLife // by id: lives that others have followed, the newest last
-	dropped  map[string]dropped    // by id: as it was when its entry was last held
-	ended    map[string]bool       // ids of which a life has ended since endedLives was last called
-	revision int64
-	change   int64     // revision of the newest change taken in
-	now      time.Time // when the list was last looked at
-	trust    time.Time // entries that vanish before this are believed missing
+	items      map[string]Item
+	missing    map[string]time.Time         // by id: until when a missing entry is believed
+	unreadable map[string]int64             // by id: revision at which its entry couldn't be read any more
+	past       map[string][]pastIncarnation // by id: lives that others have followed, the newest last
+	dropped    map[string]dropped           // by id: as it was when its entry was last held
+	ended      map[string]bool              // ids of which a life has ended since endedLives was last called
+	revision   int64
+	change     int64     // revision of the newest change taken in
+	now        time.Time // when the list was last looked at
+	trust      time.Time // entries that vanish before this are believed missing
 }
 
 // NewList returns an empty list.
 func NewList() *List {
-	return &List{items: make(map[string]Item), missing: make(map[string]time.Time), past: make(map[string][]pastLife), voids: make(map[string]int64), dropped: make(map[string]dropped), ended: make(map[string]bool)}
+	return &List{items: make(map[string]Item), missing: make(map[string]time.Time), past: make(map[string][]pastIncarnation), unreadable: make(map[string]int64), dropped: make(map[string]dropped), ended: make(map[string]bool)}
 }
 
 // Revision returns the store's revision up to which the list holds.
@@ -83,7 +83,7 @@
 // Items calls f for each entry.
 func (l *List) Items(f func(Item)) {
 	for id, v := range l.items {
-		if _, void := l.voids[id]; !void {
+		if _, void := l.unreadable[id]; !void {
 			f(v)
 		}
 	}
@@ -121,16 +121,16 @@
 const (
 	// livesKept is how many lives of an id are remembered, idsKept of how many ids: a write of a
 	// life before comes some seconds late at most.
-	livesKept = 4
-	idsKept   = 1024
+	maxPastIncarnations = 4
+	maxIDs              = 1024
 	// lateWrites is how many writes of a life before may be done after the next one's: those
 	// that it had under way when it ended. Who goes on writing lives, and was taken for the
 	// one before by a list that saw the two in another order.
-	lateWrites = 2
+	maxLateWrites = 2
 )
 
 // pastLife is a life that another one has followed.
-type pastLife struct {
+type pastIncarnation struct {
 	born   int64
 	newest int64 // revision of its newest write
 	late   int   // writes after it was followed
@@ -143,19 +143,19 @@
 	l.change = max(l.change, v.Revision)
 	e := &v.Entry
 	old, ok := l.items[e.ID]
-	if ok && old.Revision > v.Revision || l.voids[e.ID] > v.Revision || l.late(v) || !ok && l.isOfACopy(v) {
+	if ok && old.Revision > v.Revision || l.unreadable[e.ID] > v.Revision || l.isLate(v) || !ok && l.isFromOlderCopy(v) {
 		return
 	}
-	delete(l.voids, e.ID)
+	delete(l.unreadable, e.ID)
 	switch {
-	case ok && v.begins(old):
-		l.follow(old)
-		v.begin(old)
+	case ok && v.startsIncarnation(old):
+		l.recordPast(old)
+		v.setStart(old)
 	case ok:
 		// Leaving is for good in one life, whatever an entry from before may say.
-		v.goOn(old)
+		v.inheritFrom(old)
 	default:
-		l.comeBack(&v)
+		l.reappear(&v)
 	}
 	l.items[e.ID] = v
 	delete(l.dropped, e.ID)
@@ -163,9 +163,9 @@
 }
 
 // late tells whether a write is one of a life that is over, done late.
-func (l *List) late(v Item) bool {
+func (l *List) isLate(v Item) bool {
 	list := l.past[v.Entry.ID]
-	i := slices.IndexFunc(list, func(p pastLife) bool { return p.born == v.Entry.Born })
+	i := slices.IndexFunc(list, func(p pastIncarnation) bool { return p.born == v.Entry.Born })
 	if v.Entry.Born == 0 || i < 0 {
 		return false
 	}
@@ -174,7 +174,7 @@
 		p.newest = v.Revision
 		p.late++
 	}
-	if p.late <= lateWrites {
+	if p.late <= maxLateWrites {
 		return true
 	}
 	l.past[v.Entry.ID] = slices.Delete(list, i, i+1)
@@ -182,20 +182,20 @@
 }
 
 // follow notes that a life is over.
-func (l *List) follow(old Item) {
+func (l *List) recordPast(old Item) {
 	id := old.Entry.ID
 	l.ended[id] = true
-	if l.past[id] == nil && len(l.past) >= idsKept {
+	if l.past[id] == nil && len(l.past) >= maxIDs {
 		clear(l.past)
 	}
 	p := l.past[id]
-	l.past[id] = append(p[max(0, len(p)-livesKept+1):], pastLife{born: old.Entry.Born, newest: old.Revision})
+	l.past[id] = append(p[max(0, len(p)-maxPastIncarnations+1):], pastIncarnation{born: old.Entry.Born, newest: old.Revision})
 }
 
 // endedLives returns the ids of which a life has ended since the last call. Who keeps something of a
 // life can't tell by the entry that it knows: that one may have had no birth, and a birth and the next
 // life's may have come between two looks.
-func (l *List) endedLives() map[string]bool {
+func (l *List) takeEnded() map[string]bool {
 	m := l.ended
 	l.ended = make(map[string]bool)
 	return m
@@ -212,7 +212,7 @@
 func (l *List) MarkUnreadable(revision int64, id string) {
 	l.change = max(l.change, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
-		l.voids[id] = revision
+		l.unreadable[id] = revision
 	}
 }
 
@@ -233,11 +233,11 @@
 
 func (l *List) drop(id string) {
 	if v, ok := l.items[id]; ok {
-		l.noteDropped(v)
+		l.recordDropped(v)
 	}
 	delete(l.items, id)
 	delete(l.missing, id)
-	delete(l.voids, id)
+	delete(l.unreadable, id)
 }
 
 // Missing is an entry that went missing and is still believed, and until when.
--- a/internal/pool/list_test.go
+++ b/internal/pool/list_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestEntriesThatLapsedWithTheStore(t *testing.T) {
+func TestEntriesLapsedInStoreOutage(t *testing.T) {
 	lapsed := func() *List {
 		l := NewList()
 		l.Replace(start, 5, []Item{item("a", 3), item("b", 4)})
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -35,7 +35,7 @@
 }
 
 // another tells whether two entries of an id, of which neither is known to be the later, are of different lives.
-func (e Entry) another(o Entry) bool {
+func (e Entry) isOtherIncarnation(o Entry) bool {
 	if e.Born == 0 && o.Born == 0 {
 		return e.Address != o.Address || e.StartRevision != o.StartRevision
 	}
@@ -43,7 +43,7 @@
 }
 
 // begins tells whether an entry, that was written after another one of its id, is of a later life.
-func (v *Item) begins(old Item) bool {
+func (v *Item) startsIncarnation(old Item) bool {
 	e, o := v.Entry, old.Entry
 	switch {
 	case e.Born != 0:
@@ -59,14 +59,14 @@
 }
 
 // begin makes the entry the first one of a later life than that of old.
-func (v *Item) begin(old Item) {
+func (v *Item) setStart(old Item) {
 	if v.Entry.Born == 0 && v.Entry.StartRevision <= old.Entry.StartRevision {
 		v.Entry.StartRevision = v.Revision
 	}
 }
 
 // goOn makes the entry one of old's life: what that one said for good holds on.
-func (v *Item) goOn(old Item) {
+func (v *Item) inheritFrom(old Item) {
 	e, o := &v.Entry, old.Entry
 	e.Leaving = e.Leaving || o.Leaving
 	e.Declared = e.Declared || o.Declared
@@ -77,20 +77,20 @@
 }
 
 // comeBack takes in an entry of an id of which none is held.
-func (l *List) comeBack(v *Item) {
+func (l *List) reappear(v *Item) {
 	old, ok := l.dropped[v.Entry.ID]
 	switch {
 	case !ok:
-	case v.begins(old.Item), v.Entry.Born == 0 && old.Entry.Born == 0 && l.wasAway(old):
-		v.begin(old.Item)
+	case v.startsIncarnation(old.Item), v.Entry.Born == 0 && old.Entry.Born == 0 && l.wasAbsent(old):
+		v.setStart(old.Item)
 		l.ended[v.Entry.ID] = true
 	default:
-		v.goOn(old.Item)
+		v.inheritFrom(old.Item)
 	}
 }
 
 // wasAway tells whether an entry was gone for longer than that of a living upstream may be. While the
 // store is away nobody can write; whoever lives is back soon after it.
-func (l *List) wasAway(v dropped) bool {
+func (l *List) wasAbsent(v dropped) bool {
 	return l.now.Sub(v.at) >= lapseGrace && !l.now.Before(l.trust)
 }
--- a/internal/pool/others.go
+++ b/internal/pool/others.go
@@ -26,15 +26,15 @@
 	Complete bool
 }
 
-type shareLoad struct {
-	at    time.Time
-	loads []Load
-	whole bool
+type receivedLoad struct {
+	at       time.Time
+	loads    []Load
+	complete bool
 }
 
 // sharesKeep is how long shares count in the place of the reports of the nodes that they
 // tell of: some rounds of a relay, so that one that is lost can be replaced by another.
-const sharesKeep = 1500 * time.Millisecond
+const peerLoadTTL = 1500 * time.Millisecond
 
 // ApplyPeerLoads takes in what other nodes have, as a relay tells it, which nodes these are, and
 // where prompt prefixes were read.
@@ -42,48 +42,48 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	p.shares, p.covered, p.shared = p.shares[:0], covered, now
+	p.peerLoads, p.covered, p.peerLoadsAt = p.peerLoads[:0], covered, now
 	for _, s := range shares {
-		p.shares = append(p.shares, shareLoad{at: now.Add(-s.Age), loads: s.Loads, whole: s.Complete})
+		p.peerLoads = append(p.peerLoads, receivedLoad{at: now.Add(-s.Age), loads: s.Loads, complete: s.Complete})
 	}
-	p.learnPlaced(now, placed)
+	p.applyPlacements(now, placed)
 }
 
 // currentShares returns the shares as long as they count.
-func (p *Pools) currentShares(now time.Time) []shareLoad {
-	if now.Sub(p.shared) > sharesKeep {
+func (p *Pools) currentPeerLoads(now time.Time) []receivedLoad {
+	if now.Sub(p.peerLoadsAt) > peerLoadTTL {
 		return nil
 	}
-	return p.shares
+	return p.peerLoads
 }
 
 // covers tells whether the shares count for a node.
 func (p *Pools) covers(now time.Time, node string) bool {
-	return p.covered[node] && now.Sub(p.shared) <= sharesKeep
+	return p.covered[node] && now.Sub(p.peerLoadsAt) <= peerLoadTTL
 }
 
 // othersLoad is what other nodes have at one upstream.
-type othersLoad struct {
-	running float64 // requests
-	queued  float64 // prompt tokens without a first token
-	held    float64 // tokens of memory
+type loadSum struct {
+	running  float64 // requests
+	queued   float64 // prompt tokens without a first token
+	reserved float64 // tokens of memory
 }
 
-func (v *othersLoad) add(w, running, queued, held float64) {
+func (v *loadSum) add(w, running, queued, held float64) {
 	v.running += w * running
 	v.queued += w * queued
-	v.held += w * held
+	v.reserved += w * held
 }
 
 // gatherOthers sets what other nodes have at each upstream of a service, and returns what
 // they have sent to one since their last word, in milliseconds of its time.
-func (p *Pools) gatherOthers(now time.Time, name string, e capacity.Engine) float64 {
+func (p *Pools) sumPeerLoad(now time.Time, name string, e capacity.Engine) float64 {
 	members := p.services[name]
 	for _, m := range members {
-		m.others = othersLoad{}
+		m.peers = loadSum{}
 	}
-	lasts := p.service(name).lasts
-	var anywhere othersLoad
+	lasts := p.service(name).durationMs
+	var anywhere loadSum
 	runs, aged := 0.0, 0.0
 	add := func(age time.Duration, whole bool, l Load) {
 		m := p.members[l.Upstream]
@@ -95,29 +95,29 @@
 			aged += float64(l.Running) * float64(age) / float64(time.Millisecond)
 		}
 		holds := math.Exp(-float64(age) / float64(time.Millisecond) / lasts)
-		m.others.add(holds, float64(l.Running), drained(e, l.Queued, age), l.Reserved)
+		m.peers.add(holds, float64(l.Running), remainingQueue(e, l.Queued, age), l.Reserved)
 		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Reserved)
 	}
-	for node, v := range p.peers {
-		if age := now.Sub(v.at); age <= peerKeeps && !p.covers(now, node) {
+	for node, v := range p.reports {
+		if age := now.Sub(v.at); age <= peerReportTTL && !p.covers(now, node) {
 			for _, l := range v.loads {
 				add(age, false, l)
 			}
 		}
 	}
-	for _, v := range p.currentShares(now) {
+	for _, v := range p.currentPeerLoads(now) {
 		for _, l := range v.loads {
-			add(now.Sub(v.at), v.whole, l)
+			add(now.Sub(v.at), v.complete, l)
 		}
 	}
 	for _, v := range p.pending {
 		add(now.Sub(v.at), true, v.load)
 	}
 	for _, m := range members {
-		m.others.add(1/float64(len(members)), anywhere.running, anywhere.queued, anywhere.held)
+		m.peers.add(1/float64(len(members)), anywhere.running, anywhere.queued, anywhere.reserved)
 	}
 	if runs == 0 {
 		return 0
 	}
-	return p.unseen(name, runs, aged/runs)
+	return p.unreported(name, runs, aged/runs)
 }
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -19,39 +19,39 @@
 	paceGain = 0.1 // weight of the newest answer
 	// paceHalf is the time in which half of what was believed is forgotten. One that is four times as slow
 	// as the others is tried again after some five seconds where they are idle, at the price of a few answers.
-	paceHalf = 2 * time.Second
+	paceHalfLife = 2 * time.Second
 	// slowest and fastest bound what one answer, or all, can say.
-	slowest = 4.0
-	fastest = 0.5
+	maxSlowness = 4.0
+	minSlowness = 0.5
 )
 
 // pace is how slow one upstream is.
 type pace struct {
-	off float64 // by how much it differs from 1, the usual, as of then
-	at  time.Time
+	offset float64 // by how much it differs from 1, the usual, as of then
+	at     time.Time
 }
 
 // take takes in an answer that took so many times as long as usual.
-func (p *pace) take(now time.Time, x float64) {
-	v := p.now(now)
-	p.off, p.at = v+paceGain*(min(slowest, x)-v)-1, now
+func (p *pace) observe(now time.Time, x float64) {
+	v := p.value(now)
+	p.offset, p.at = v+paceGain*(min(maxSlowness, x)-v)-1, now
 }
 
-func (p *pace) now(now time.Time) float64 {
-	return 1 + p.off*math.Exp2(-float64(now.Sub(p.at))/float64(paceHalf))
+func (p *pace) value(now time.Time) float64 {
+	return 1 + p.offset*math.Exp2(-float64(now.Sub(p.at))/float64(paceHalfLife))
 }
 
 // slowness is how many times as long as usual its answers take.
-func (p *pace) slowness(now time.Time) float64 { return max(fastest, p.now(now)) }
+func (p *pace) slowness(now time.Time) float64 { return max(minSlowness, p.value(now)) }
 
 // relative takes in an answer's time over the one expected, and returns it over what is usual.
-func (s *service) relative(x float64) float64 {
-	if s.usual == 0 {
-		s.usual = x
+func (s *service) relativeToUsual(x float64) float64 {
+	if s.usualRatio == 0 {
+		s.usualRatio = x
 	}
-	s.usual += answerGain * (min(x, slowest*s.usual) - s.usual)
-	if s.usual <= 0 {
+	s.usualRatio += responseGain * (min(x, maxSlowness*s.usualRatio) - s.usualRatio)
+	if s.usualRatio <= 0 {
 		return 1
 	}
-	return x / s.usual
+	return x / s.usualRatio
 }
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -23,19 +23,19 @@
 func (p *Pools) choose(now time.Time, n Request) (chosen, bool) {
 	f := p.candidates(now, n)
 	s, e := p.service(n.Service), p.engine(now, n.Service)
-	i := Pick(n, Service{Engine: e, ResponseMs: s.answer, UnreportedMs: f.unseen}, f.list)
+	i := Pick(n, Service{Engine: e, ResponseMs: s.responseMs, UnreportedMs: f.unreportedMs}, f.list)
 	if i < 0 {
 		return chosen{}, false
 	}
-	return p.weigh(now, n, f, i), true
+	return p.chosenAt(now, n, f, i), true
 }
 
 // weigh is what a request takes of the candidate with that index.
-func (p *Pools) weigh(now time.Time, n Request, f field, i int) chosen {
+func (p *Pools) chosenAt(now time.Time, n Request, f candidateSet, i int) chosen {
 	c := &f.list[i]
 	v := chosen{member: f.members[i], engine: p.engine(now, n.Service), reads: max(0, n.Prompt-c.Cached)}
 	v.choice = Choice{Candidates: len(f.list), Limited: f.limited, Running: int(c.Running), Queued: c.Queued, Cached: c.Cached, Slowness: c.Slowness, Revision: p.list.Revision(), OldestReport: p.oldest(now)}
-	if c.fetches(v.engine) {
+	if c.fetchIsFaster(v.engine) {
 		v.choice.Fetched, v.fetch = c.Fetch, c.Source
 		v.reads = max(0, v.reads-c.Fetch)
 	}
@@ -66,7 +66,7 @@
 	f := p.candidates(now, placed)
 	for i, m := range f.members {
 		if m.entry.ID == id && !f.list[i].Unreachable && !f.list[i].Full {
-			v := p.weigh(now, placed, f, i)
+			v := p.chosenAt(now, placed, f, i)
 			v.choice.ByRelay = true
 			return p.use(now, placed, v)
 		}
@@ -82,47 +82,47 @@
 func (p *Pools) use(now time.Time, n Request, v chosen) *Use {
 	m, s := v.member, p.service(n.Service)
 	p.outlier(n.Service).Sending(m.entry.ID)
-	u := &Use{p: p, m: m, entry: m.entry, choice: v.choice, begun: now, engine: n.Engine, prompt: v.reads, fetch: v.fetch, rank: m.rank}
-	u.untried = m.rank != notRanked && !p.splits[n.Service].ToTarget
-	u.held = n.Prompt + n.Output
+	u := &Use{p: p, m: m, entry: m.entry, choice: v.choice, sentAt: now, engine: n.Engine, prompt: v.reads, fetch: v.fetch, rank: m.rank}
+	u.onTrial = m.rank != notRanked && !p.splits[n.Service].ToTarget
+	u.reserved = n.Prompt + n.Output
 	u.output, u.reads = n.Output, v.choice.Queued+u.prompt
-	u.expect = v.engine.FirstEvent(u.reads)
+	u.expectedMs = v.engine.FirstEvent(u.reads)
 	if n.placed != m.entry.ID {
-		u.turn = true
+		u.countedLimit = true
 		p.limits.Take(now, m.entry.Incarnation(), n.Engine)
 	}
 	m.load.Running++
-	m.load.Reserved += u.held
+	m.load.Reserved += u.reserved
 	if n.Engine {
 		m.load.Queued += u.prompt
-		s.reads += answerGain * (u.prompt - s.reads)
+		s.uncachedTokens += responseGain * (u.prompt - s.uncachedTokens)
 		u.work = v.engine.Work(u.prompt, n.Output, s.size)
-		s.take(u.work)
+		s.addWork(u.work)
 	}
-	p.place(now, m, n.Parts)
+	p.recordPlacement(now, m, n.Parts)
 	return u
 }
 
 // field is the upstreams that a choice is among.
-type field struct {
-	members []*member
-	list    []Candidate // of the same order
-	unseen  float64     // milliseconds of work that others have sent to one since their last word
-	limited int         // upstreams that aren't among them since their limit is used up
+type candidateSet struct {
+	members      []*member
+	list         []Candidate // of the same order
+	unreportedMs float64     // milliseconds of work that others have sent to one since their last word
+	limited      int         // upstreams that aren't among them since their limit is used up
 }
 
 // candidates returns the upstreams that may take a request. Those that leave or rest, or whose limit is used
 // up, aren't among them, whoever else is left. Those that are ejected are left out unless nobody else is left,
 // and those of a version that isn't to take it yet, or any more, unless these are gone, too.
-func (p *Pools) candidates(now time.Time, n Request) field {
+func (p *Pools) candidates(now time.Time, n Request) candidateSet {
 	o := p.outlier(n.Service)
 	var members, spare, lasts []*member
 	limited := 0
 	for _, m := range p.services[n.Service] {
 		takes, last := p.serves(now, m, n)
 		switch {
-		case m.entry.Leaving || m.gone || n.Excluded[m.entry.ID] || p.rests.Remaining(now, m.entry.Incarnation()) > 0:
-		case n.ReachableOnly && now.Sub(m.failed) < unreachableKeeps:
+		case m.entry.Leaving || m.misplaced || n.Excluded[m.entry.ID] || p.cooldowns.Remaining(now, m.entry.Incarnation()) > 0:
+		case n.ReachableOnly && now.Sub(m.failedAt) < unreachableTTL:
 		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Incarnation(), n.Engine) > 0:
 			limited++
 		case last:
@@ -141,28 +141,28 @@
 		members = lasts
 	}
 	chain := PrefixHashes(n.Parts)
-	unseen := p.gatherOthers(now, n.Service, p.engine(now, n.Service))
-	cut := p.cutHalls(now)
+	unseen := p.sumPeerLoad(now, n.Service, p.engine(now, n.Service))
+	cut := p.partitionedHalls(now)
 	list := make([]Candidate, len(members))
 	for i, m := range members {
 		list[i] = p.candidate(now, m, n, chain)
-		list[i].Unreachable = cut[m.entry.Hall] || now.Sub(m.silent) < unreachableKeeps
+		list[i].Unreachable = cut[m.entry.Hall] || now.Sub(m.unreachableAt) < unreachableTTL
 	}
 	if rate := p.service(n.Service).size.Fetch; rate > 0 {
-		sources(rate, members, list)
+		setFetchSources(rate, members, list)
 	}
-	return field{members: members, list: list, unseen: unseen, limited: limited}
+	return candidateSet{members: members, list: list, unreportedMs: unseen, limited: limited}
 }
 
 func (p *Pools) candidate(now time.Time, m *member, n Request, chain []uint64) Candidate {
 	c := Candidate{
 		ID: m.entry.ID, Slots: m.entry.Slots, SameHall: m.entry.Hall == p.hall,
-		Running: float64(m.load.Running) + m.others.running, Queued: m.load.Queued + m.others.queued, Reserved: m.load.Reserved + m.others.held, Memory: p.service(n.Service).size.Memory,
+		Running: float64(m.load.Running) + m.peers.running, Queued: m.load.Queued + m.peers.queued, Reserved: m.load.Reserved + m.peers.reserved, Memory: p.service(n.Service).size.Memory,
 		Slowness: m.pace.slowness(now), Failures: m.failures,
-		Full: now.Sub(m.refused) < refusedKeeps, Cold: now.Before(m.coldTill),
+		Full: now.Sub(m.fullAt) < fullTTL, Cold: now.Before(m.coldUntil),
 	}
 	for i, h := range chain {
-		if !m.keeps(now, h) && !m.keeps(now, heldKey(n.Parts[i].ID)) {
+		if !m.caches(now, h) && !m.caches(now, partKey(n.Parts[i].ID)) {
 			break
 		}
 		c.Cached += float64(n.Parts[i].Tokens)
@@ -171,17 +171,17 @@
 }
 
 // keeps tells whether a prefix is taken to be cached still.
-func (m *member) keeps(now time.Time, prefix uint64) bool {
+func (m *member) caches(now time.Time, prefix uint64) bool {
 	t, ok := m.prefixes[prefix]
-	return ok && now.Sub(t) <= prefixKeeps
+	return ok && now.Sub(t) <= prefixTTL
 }
 
-func (p *Pools) place(now time.Time, m *member, parts []call.Part) {
+func (p *Pools) recordPlacement(now time.Time, m *member, parts []call.Part) {
 	chain := PrefixHashes(parts)
 	for i, h := range chain {
 		m.prefixes[h] = now
-		if i < len(chain)-1 && len(p.placed) < placedLimit {
-			p.placed = append(p.placed, placing{now, Placement{Prefix: h, Upstream: m.entry.ID}})
+		if i < len(chain)-1 && len(p.placements) < maxPlacements {
+			p.placements = append(p.placements, timedPlacement{now, Placement{Prefix: h, Upstream: m.entry.ID}})
 		}
 	}
 }
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -32,7 +32,7 @@
 	p.limits.Take(now, v.member.entry.Incarnation(), n.Engine)
 	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Reserved: n.Prompt + n.Output}
 	p.pending = append(p.pending, pending{node: node, at: now, load: l})
-	p.place(now, v.member, n.Parts)
+	p.recordPlacement(now, v.member, n.Parts)
 	return l.Upstream
 }
 
@@ -53,7 +53,7 @@
 	defer p.mu.Unlock()
 	left := p.pending[:0]
 	for _, v := range p.pending {
-		if !told(v.node, v.at) && p.clock.Now().Sub(v.at) <= peerKeeps {
+		if !told(v.node, v.at) && p.clock.Now().Sub(v.at) <= peerReportTTL {
 			left = append(left, v)
 		}
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -14,12 +14,12 @@
 
 // The results.
 const (
-	ResultGood        Result = iota
-	ResultFailed             // no whole answer, or an answer that says it failed
+	ResultGood         Result = iota
+	ResultFailed              // no whole answer, or an answer that says it failed
 	ResultRejected            // the upstream didn't run it
-	ResultUnreachable        // no connection could be made
-	ResultMisplaced               // another upstream has its address
-	ResultInconclusive            // it ended for reasons of the caller
+	ResultUnreachable         // no connection could be made
+	ResultMisplaced           // another upstream has its address
+	ResultInconclusive        // it ended for reasons of the caller
 )
 
 // Load is what one node has at one upstream.
@@ -27,7 +27,7 @@
 	Upstream string
 	Running  int
 	Queued   float64 // prompt tokens without a first token
-	Reserved     float64 // tokens of memory
+	Reserved float64 // tokens of memory
 }
 
 // Placement says that an upstream read a prompt prefix.
@@ -39,53 +39,53 @@
 const (
 	// prefixKeeps is how long a prefix is taken to stay cached after its last use. Under
 	// load, an engine takes in its whole memory anew in about so long.
-	prefixKeeps = 30 * time.Second
+	prefixTTL = 30 * time.Second
 	// peerKeeps is the age at which another node's load says nothing any more.
-	peerKeeps = 3 * time.Second
+	peerReportTTL = 3 * time.Second
 	// refusedKeeps is how long "full" is believed: some requests' work.
-	refusedKeeps = 150 * time.Millisecond
+	fullTTL = 150 * time.Millisecond
 	// unreachableKeeps is how long "can't be reached" is believed: a cut lasts seconds, and
 	// each try against one costs the time-out of a connection.
-	unreachableKeeps = time.Second
+	unreachableTTL = time.Second
 	// cutAfter is the number of upstreams of a hall that can't be reached after which the
 	// hall is taken for cut off: one may just have died.
-	cutAfter = 2
+	partitionAfter = 2
 	// outlierShare bounds the share of a pool that is ejected.
-	outlierShare = 0.34
-	failureGain  = 0.12 // weight of the newest result in the share of failures
-	lagGain      = 0.2  // weight of the newest first event's lag
-	answerGain   = 0.05 // weight of the newest answer in the time of a plain service's
-	answerPrior  = 30.0 // milliseconds, until a plain service has answered
-	lastsPrior   = 1000 // milliseconds, until a request has ended
+	outlierShare    = 0.34
+	failureGain     = 0.12 // weight of the newest result in the share of failures
+	lagGain         = 0.2  // weight of the newest first event's lag
+	responseGain    = 0.05 // weight of the newest answer in the time of a plain service's
+	responsePriorMs = 30.0 // milliseconds, until a plain service has answered
+	durationPriorMs = 1000 // milliseconds, until a request has ended
 	// mergeEvery is how often what the nodes have learned is joined: reports come so often.
-	mergeEvery  = 250 * time.Millisecond
-	placedLimit = 1024 // placements kept for reports
+	mergeEvery    = 250 * time.Millisecond
+	maxPlacements = 1024 // placements kept for reports
 	// forgetEvery is how often prefixes are dropped that are no longer believed to be cached:
 	// a choice looks at their age itself, and to look through all with each report takes a part
 	// of a small VM's core (BenchmarkReport).
-	forgetEvery = 5 * time.Second
+	pruneInterval = 5 * time.Second
 	// placedFor is how long a placement is reported: some rounds, since a report may be
 	// lost.
-	placedFor = time.Second
+	placementTTL = time.Second
 )
 
 // member is one upstream with what this node knows of it.
 type member struct {
-	entry     Entry
-	coldTill  time.Time
-	load      Load
-	others    othersLoad // as of the last choice
-	failures  float64
-	pace      pace
-	refused   time.Time
-	silent    time.Time // when it last couldn't be reached, by this node or several others
-	failed    time.Time // the same, by this node
-	lost      time.Time // the same, by several nodes
-	lostSince time.Time // from when on they couldn't
-	answered  time.Time // when it last answered this node
-	gone      bool      // another upstream has its address: this life is over
-	prefixes  map[uint64]time.Time
-	rank      int // among the target's upstreams of a roll-out; notRanked: none of these
+	entry         Entry
+	coldUntil     time.Time
+	load          Load
+	peers         loadSum // as of the last choice
+	failures      float64
+	pace          pace
+	fullAt        time.Time
+	unreachableAt time.Time // when it last couldn't be reached, by this node or several others
+	failedAt      time.Time // the same, by this node
+	lostAt        time.Time // the same, by several nodes
+	lostSince     time.Time // from when on they couldn't
+	respondedAt   time.Time // when it last answered this node
+	misplaced     bool      // another upstream has its address: this life is over
+	prefixes      map[uint64]time.Time
+	rank          int // among the target's upstreams of a roll-out; notRanked: none of these
 }
 
 type peerReport struct {
@@ -96,48 +96,48 @@
 
 // Pools is the upstreams of all services. It is safe for concurrent use.
 type Pools struct {
-	mu       sync.Mutex
-	clock    *timer.Service
-	hall     string
-	start    time.Time
-	list     *List
-	members  map[string]*member
-	services map[string][]*member
-	outliers map[string]*retry.Outliers
-	peers    map[string]peerReport
-	shares   []shareLoad
-	covered  map[string]bool // the nodes that the shares tell of
-	shared   time.Time       // when they came
-	pending  []pending
-	known    map[string]*service
-	placed   []placing
-	forgot   time.Time                       // when prefixes were last dropped
-	reached  map[string]time.Time            // when an upstream last answered, by hall
-	told     map[string]time.Time            // when the hall's other nodes found a hall cut off
-	splits   map[string]Split                // by service
-	versions map[string]map[string]time.Time // when each was first seen, by service
-	filled   bool                            // the list has been read
-	rests    *retry.Cooldowns                    // that upstreams have asked of this node
-	limits   *limit.Book                     // that upstreams name for all nodes together
+	mu            sync.Mutex
+	clock         *timer.Service
+	hall          string
+	start         time.Time
+	list          *List
+	members       map[string]*member
+	services      map[string][]*member
+	outliers      map[string]*retry.Outliers
+	reports       map[string]peerReport
+	peerLoads     []receivedLoad
+	covered       map[string]bool // the nodes that the shares tell of
+	peerLoadsAt   time.Time       // when they came
+	pending       []pending
+	serviceStats  map[string]*service
+	placements    []timedPlacement
+	prunedAt      time.Time                       // when prefixes were last dropped
+	lastResponse  map[string]time.Time            // when an upstream last answered, by hall
+	partitionedAt map[string]time.Time            // when the hall's other nodes found a hall cut off
+	splits        map[string]Split                // by service
+	versions      map[string]map[string]time.Time // when each was first seen, by service
+	listRead      bool                            // the list has been read
+	cooldowns     *retry.Cooldowns                // that upstreams have asked of this node
+	limits        *limit.Book                     // that upstreams name for all nodes together
 }
 
 // service is what is known of one service.
 type service struct {
-	size    capacity.Size
-	work    capacity.Work // sent since the start
-	untaken capacity.Work // of it: that no upstream took, and that isn't made up for yet
-	learner capacity.Learner
-	engine  capacity.Engine // as all nodes have learned it
-	merged  time.Time
-	reads   float64     // prompt tokens of a request that aren't cached
-	answer  float64     // milliseconds to an answer's head
-	lasts   float64     // milliseconds that a request takes, to its end
-	usual   float64     // time to a first event over the one expected, as answers lately had it; 0: none yet
-	lag     float64     // milliseconds by which first events lately come later than expected
-	turns   retry.ReturnSchedule // of callers that are turned away while no upstream takes anything
+	size           capacity.Size
+	work           capacity.Work // sent since the start
+	notExecuted    capacity.Work // of it: that no upstream took, and that isn't made up for yet
+	learner        capacity.Learner
+	engine         capacity.Engine // as all nodes have learned it
+	mergedAt       time.Time
+	uncachedTokens float64              // prompt tokens of a request that aren't cached
+	responseMs     float64              // milliseconds to an answer's head
+	durationMs     float64              // milliseconds that a request takes, to its end
+	usualRatio     float64              // time to a first event over the one expected, as answers lately had it; 0: none yet
+	lagMs          float64              // milliseconds by which first events lately come later than expected
+	returns        retry.ReturnSchedule // of callers that are turned away while no upstream takes anything
 }
 
-type placing struct {
+type timedPlacement struct {
 	at time.Time
 	Placement
 }
@@ -147,8 +147,8 @@
 	return &Pools{
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
-		peers: make(map[string]peerReport), known: make(map[string]*service), reached: make(map[string]time.Time),
-		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewCooldowns(), limits: limit.NewBook(node),
+		reports: make(map[string]peerReport), serviceStats: make(map[string]*service), lastResponse: make(map[string]time.Time),
+		partitionedAt: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), cooldowns: retry.NewCooldowns(), limits: limit.NewBook(node),
 	}
 }
 
@@ -190,21 +190,21 @@
 
 func (p *Pools) rebuild() []Change {
 	var changes []Change
-	ended, seen := p.list.endedLives(), make(map[string]bool)
+	ended, seen := p.list.takeEnded(), make(map[string]bool)
 	services := make(map[string][]*member)
 	p.list.Items(func(v Item) {
 		e := v.Entry
 		seen[e.ID] = true
 		m := p.members[e.ID]
-		if m != nil && (ended[e.ID] || m.entry.another(e)) {
+		if m != nil && (ended[e.ID] || m.entry.isOtherIncarnation(e)) {
 			changes = append(changes, Change{m.entry, "gone"})
-			p.forgetMember(m)
+			p.dropMember(m)
 			m = nil
 		}
 		switch {
 		case m == nil:
-			p.noteVersion(p.clock.Now(), e)
-			m = &member{entry: e, rank: notRanked, prefixes: make(map[uint64]time.Time), coldTill: p.clock.Now().Add(e.WarmUp)}
+			p.recordVersion(p.clock.Now(), e)
+			m = &member{entry: e, rank: notRanked, prefixes: make(map[uint64]time.Time), coldUntil: p.clock.Now().Add(e.WarmUp)}
 			p.members[e.ID] = m
 			changes = append(changes, Change{e, "listed"})
 		case e.Leaving && !m.entry.Leaving:
@@ -214,18 +214,18 @@
 		services[e.Service] = append(services[e.Service], m)
 	})
 	for id := range ended {
-		p.forgetWords(id)
+		p.forgetIncarnation(id)
 	}
 	for id, m := range p.members {
 		if !seen[id] {
 			changes = append(changes, Change{m.entry, "gone"})
-			p.forgetMember(m)
+			p.dropMember(m)
 		}
 	}
 	for _, l := range services { // an order that all plays of a seed have
 		slices.SortFunc(l, func(a, b *member) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
 	}
-	p.services, p.filled = services, len(seen) > 0
+	p.services, p.listRead = services, len(seen) > 0
 	for name := range p.splits {
 		p.rank(name)
 	}
@@ -234,19 +234,19 @@
 
 // forgetMember drops what is known of one life of an upstream. What still runs there ends on
 // its own.
-func (p *Pools) forgetMember(m *member) {
+func (p *Pools) dropMember(m *member) {
 	delete(p.members, m.entry.ID)
 	if o := p.outliers[m.entry.Service]; o != nil {
 		o.Forget(m.entry.ID)
 	}
-	for _, v := range p.peers {
+	for _, v := range p.reports {
 		delete(v.loads, m.entry.ID)
 	}
 }
 
 // forgetWords drops what a life has asked for that named no birth and is over: the next one may have its name.
-func (p *Pools) forgetWords(id string) {
-	p.rests.Forget(retry.Incarnation{ID: id})
+func (p *Pools) forgetIncarnation(id string) {
+	p.cooldowns.Forget(retry.Incarnation{ID: id})
 	p.limits.Forget(retry.Incarnation{ID: id})
 }
 
@@ -258,10 +258,10 @@
 }
 
 func (p *Pools) service(name string) *service {
-	s := p.known[name]
+	s := p.serviceStats[name]
 	if s == nil {
-		s = &service{answer: answerPrior, lasts: lastsPrior}
-		p.known[name] = s
+		s = &service{responseMs: responsePriorMs, durationMs: durationPriorMs}
+		p.serviceStats[name] = s
 	}
 	return s
 }
@@ -278,12 +278,12 @@
 // oldest is the age of the oldest report that still counts.
 func (p *Pools) oldest(now time.Time) time.Duration {
 	d := time.Duration(0)
-	for name, v := range p.peers {
-		if age := now.Sub(v.at); age <= peerKeeps && !p.covers(now, name) {
+	for name, v := range p.reports {
+		if age := now.Sub(v.at); age <= peerReportTTL && !p.covers(now, name) {
 			d = max(d, age)
 		}
 	}
-	for _, v := range p.currentShares(now) {
+	for _, v := range p.currentPeerLoads(now) {
 		d = max(d, now.Sub(v.at))
 	}
 	return d
@@ -311,9 +311,9 @@
 		l.Upstream = id
 		loads = append(loads, l)
 	}
-	p.forget()
-	placed := make([]Placement, 0, len(p.placed))
-	for _, v := range p.placed {
+	p.prune()
+	placed := make([]Placement, 0, len(p.placements))
+	for _, v := range p.placements {
 		placed = append(placed, v.Placement)
 	}
 	return loads, placed
@@ -321,20 +321,20 @@
 
 // forget drops placements that were reported, and prefixes that are no longer believed
 // to be cached.
-func (p *Pools) forget() {
+func (p *Pools) prune() {
 	now := p.clock.Now()
 	old := 0
-	for old < len(p.placed) && now.Sub(p.placed[old].at) > placedFor {
+	for old < len(p.placements) && now.Sub(p.placements[old].at) > placementTTL {
 		old++
 	}
-	p.placed = append(p.placed[:0], p.placed[old:]...)
-	if now.Sub(p.forgot) < forgetEvery {
+	p.placements = append(p.placements[:0], p.placements[old:]...)
+	if now.Sub(p.prunedAt) < pruneInterval {
 		return
 	}
-	p.forgot = now
+	p.prunedAt = now
 	for _, m := range p.members {
 		for h, t := range m.prefixes {
-			if now.Sub(t) > prefixKeeps {
+			if now.Sub(t) > prefixTTL {
 				delete(m.prefixes, h)
 			}
 		}
@@ -350,11 +350,11 @@
 	for _, l := range loads {
 		m[l.Upstream] = l
 	}
-	p.peers[node] = peerReport{at: now, loads: m, engines: engines}
-	p.learnPlaced(now, placed)
+	p.reports[node] = peerReport{at: now, loads: m, engines: engines}
+	p.applyPlacements(now, placed)
 }
 
-func (p *Pools) learnPlaced(now time.Time, placed []Placement) {
+func (p *Pools) applyPlacements(now time.Time, placed []Placement) {
 	for _, v := range placed {
 		if u := p.members[v.Upstream]; u != nil {
 			u.prefixes[v.Prefix] = now
--- a/internal/pool/reach.go
+++ b/internal/pool/reach.go
@@ -25,14 +25,14 @@
 const (
 	// agreeing is how many other nodes have to have failed to reach an upstream, and cutTries
 	// how many of a hall's upstreams they have to have failed at for a cut.
-	agreeing = 2
-	cutTries = 3
+	minAgreeingNodes     = 2
+	minPartitionFailures = 3
 	// cutQuiet is how long nobody has heard of a hall that is taken for cut off: some answers'
 	// time, with the delay of a report and a digest.
-	cutQuiet = 800 * time.Millisecond
+	partitionSilence = 800 * time.Millisecond
 	// lostKeeps is how long an upstream that several nodes couldn't reach is no capacity: its
 	// entry lapses in that time if it is dead, and nobody asks it meanwhile who has others.
-	lostKeeps = 5 * time.Second
+	lostTTL = 5 * time.Second
 	// lostAfter is how long it has to have been so: a hall that is cut off is known to be by
 	// then, since its nodes aren't heard, and what it has isn't ordered a second time.
 	lostAfter = 1250 * time.Millisecond
@@ -40,17 +40,17 @@
 
 // UnreachableUpstream is an upstream that couldn't be reached.
 type UnreachableUpstream struct {
-	Upstream string
-	Born     int64         // of its life, as its entry says
-	Nodes    int           // that found so
-	Age      time.Duration // since the newest try
-	Misplaced     bool          // another upstream has its address: that is proof
+	Upstream  string
+	Born      int64         // of its life, as its entry says
+	Nodes     int           // that found so
+	Age       time.Duration // since the newest try
+	Misplaced bool          // another upstream has its address: that is proof
 }
 
 // Reachability is what one node, or several, have found out lately.
 type Reachability struct {
-	Unreachable []UnreachableUpstream
-	LastResponse  map[string]time.Duration // since an upstream last answered, by hall
+	Unreachable  []UnreachableUpstream
+	LastResponse map[string]time.Duration // since an upstream last answered, by hall
 }
 
 // Merge returns what both have found, where o is by so much older than it says.
@@ -84,13 +84,13 @@
 	now := p.clock.Now()
 	r := Reachability{LastResponse: make(map[string]time.Duration)}
 	for id, m := range p.members {
-		if age := now.Sub(m.failed); m.gone || age < unreachableKeeps {
-			r.Unreachable = append(r.Unreachable, UnreachableUpstream{Upstream: id, Born: m.entry.Born, Nodes: 1, Age: age, Misplaced: m.gone})
+		if age := now.Sub(m.failedAt); m.misplaced || age < unreachableTTL {
+			r.Unreachable = append(r.Unreachable, UnreachableUpstream{Upstream: id, Born: m.entry.Born, Nodes: 1, Age: age, Misplaced: m.misplaced})
 		}
 	}
 	slices.SortFunc(r.Unreachable, func(a, b UnreachableUpstream) int { return cmp.Compare(a.Upstream, b.Upstream) })
-	for h, t := range p.reached {
-		if age := now.Sub(t); age < peerKeeps {
+	for h, t := range p.lastResponse {
+		if age := now.Sub(t); age < peerReportTTL {
 			r.LastResponse[h] = age
 		}
 	}
@@ -109,51 +109,51 @@
 		if m == nil || v.Born != m.entry.Born {
 			continue
 		}
-		m.gone = m.gone || v.Misplaced
+		m.misplaced = m.misplaced || v.Misplaced
 		at := now.Add(-v.Age)
-		if !m.answered.Before(at) {
+		if !m.respondedAt.Before(at) {
 			continue // this node has reached it since
 		}
-		if v.Age < cutQuiet {
+		if v.Age < partitionSilence {
 			tries[m.entry.Hall] += v.Nodes
 		}
-		if v.Nodes >= agreeing && v.Age < unreachableKeeps && at.After(m.silent) {
-			if now.Sub(m.lost) >= lostKeeps || !m.answered.Before(m.lost) {
+		if v.Nodes >= minAgreeingNodes && v.Age < unreachableTTL && at.After(m.unreachableAt) {
+			if now.Sub(m.lostAt) >= lostTTL || !m.respondedAt.Before(m.lostAt) {
 				m.lostSince = at
 			}
-			m.silent, m.lost = at, at
+			m.unreachableAt, m.lostAt = at, at
 		}
 	}
 	var cut []string
 	for h, n := range tries {
 		quiet, known := r.LastResponse[h]
-		if n < cutTries || known && quiet < cutQuiet || now.Sub(p.reached[h]) < cutQuiet {
+		if n < minPartitionFailures || known && quiet < partitionSilence || now.Sub(p.lastResponse[h]) < partitionSilence {
 			continue
 		}
-		if now.Sub(p.told[h]) >= unreachableKeeps {
+		if now.Sub(p.partitionedAt[h]) >= unreachableTTL {
 			cut = append(cut, h)
 		}
-		p.told[h] = now
+		p.partitionedAt[h] = now
 	}
 	return cut
 }
 
 // cutHalls returns the halls that are taken for cut off from this node: by its own tries, or
 // by those of several others.
-func (p *Pools) cutHalls(now time.Time) map[string]bool {
+func (p *Pools) partitionedHalls(now time.Time) map[string]bool {
 	failed := make(map[string]int)
 	for _, m := range p.members {
 		h := m.entry.Hall
-		if now.Sub(m.failed) < unreachableKeeps && m.failed.After(p.reached[h]) {
+		if now.Sub(m.failedAt) < unreachableTTL && m.failedAt.After(p.lastResponse[h]) {
 			failed[h]++
 		}
 	}
 	cut := make(map[string]bool, len(failed))
 	for h, n := range failed {
-		cut[h] = n >= cutAfter
+		cut[h] = n >= partitionAfter
 	}
-	for h, t := range p.told {
-		if now.Sub(t) < unreachableKeeps && t.After(p.reached[h]) {
+	for h, t := range p.partitionedAt {
+		if now.Sub(t) < unreachableTTL && t.After(p.lastResponse[h]) {
 			cut[h] = true
 		}
 	}
@@ -170,8 +170,8 @@
 	now := p.clock.Now()
 	lost := make(map[string]bool)
 	for id, m := range p.members {
-		cut := now.Sub(p.told[m.entry.Hall]) < lostKeeps && !heard[m.entry.Hall] && m.entry.Hall != p.hall
-		if m.gone || !cut && now.Sub(m.lost) < lostKeeps && now.Sub(m.lostSince) >= lostAfter && m.answered.Before(m.lost) {
+		cut := now.Sub(p.partitionedAt[m.entry.Hall]) < lostTTL && !heard[m.entry.Hall] && m.entry.Hall != p.hall
+		if m.misplaced || !cut && now.Sub(m.lostAt) < lostTTL && now.Sub(m.lostSince) >= lostAfter && m.respondedAt.Before(m.lostAt) {
 			lost[id] = true
 		}
 	}
--- a/internal/pool/report_test.go
+++ b/internal/pool/report_test.go
@@ -11,7 +11,7 @@
 )
 
 // known returns pools that know of so many prefixes at each of some upstreams.
-func known(c *timer.Manual, upstreams, prefixes int) *Pools {
+func poolsWithPrefixes(c *timer.Manual, upstreams, prefixes int) *Pools {
 	p := New(c.Service(), "self", "a")
 	p.Update(func(l *List) {
 		for i := 0; i < upstreams; i++ {
@@ -27,9 +27,9 @@
 }
 
 // TestForgottenPrefixes: what isn't believed any more doesn't stay in memory.
-func TestForgottenPrefixes(t *testing.T) {
+func TestExpiredPrefixesAreDropped(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
-	p := known(c, 3, 5)
+	p := poolsWithPrefixes(c, 3, 5)
 	count := func() int {
 		n := 0
 		for _, m := range p.members {
@@ -39,7 +39,7 @@
 	}
 	p.Report()
 	assert.Equal(t, 15, count())
-	c.Advance(prefixKeeps + time.Second)
+	c.Advance(prefixTTL + time.Second)
 	p.Report()
 	assert.Zero(t, count())
 }
@@ -48,7 +48,7 @@
 // of 95 places in 30 s; a node makes some 30 a second. 205 us each when each looked for
 // prefixes to forget, 0.5 us since they are looked for once in a while (one run each).
 func BenchmarkReport(b *testing.B) {
-	p := known(timer.NewManual(time.Unix(1000, 0)), 53, 190)
+	p := poolsWithPrefixes(timer.NewManual(time.Unix(1000, 0)), 53, 190)
 	for i := 0; i < b.N; i++ {
 		p.Report()
 	}
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -28,12 +28,12 @@
 // the entry names.
 func (l *List) MarkLeaving(e Entry) {
 	v, ok := l.items[e.ID]
-	if ok && v.Entry.another(e) {
+	if ok && v.Entry.isOtherIncarnation(e) {
 		return
 	}
 	if !ok {
 		e.Leaving = true
-		l.noteDropped(Item{Entry: e, Revision: l.dropped[e.ID].Revision})
+		l.recordDropped(Item{Entry: e, Revision: l.dropped[e.ID].Revision})
 		return
 	}
 	v.Entry.Leaving = true
@@ -41,8 +41,8 @@
 }
 
 // noteDropped remembers an entry that isn't held any more.
-func (l *List) noteDropped(v Item) {
-	if len(l.dropped) >= idsKept {
+func (l *List) recordDropped(v Item) {
+	if len(l.dropped) >= maxIDs {
 		clear(l.dropped)
 	}
 	l.dropped[v.Entry.ID] = dropped{v, l.now}
@@ -50,7 +50,7 @@
 
 // isOfACopy tells whether an entry that isn't held is one that went, as an older copy of the store has
 // it: the same write, by a later era. Whoever lives writes again.
-func (l *List) isOfACopy(v Item) bool {
+func (l *List) isFromOlderCopy(v Item) bool {
 	old, ok := l.dropped[v.Entry.ID]
 	return ok && old.Revision != 0 && era.Of(v.Revision) > era.Of(old.Revision) && era.Number(v.Revision) == era.Number(old.Revision)
 }
@@ -60,7 +60,7 @@
 func (p *Pools) StartCooldown(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.Start(p.clock.Now(), e.Incarnation(), d)
+	return p.cooldowns.Start(p.clock.Now(), e.Incarnation(), d)
 }
 
 // ObserveLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, l, engine := p.clock.Now(), e.Incarnation(), p.service(e.Service).size.Slots > 0
-	if p.rests.Remaining(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
+	if p.cooldowns.Remaining(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
 		return false
 	}
 	p.limits.Take(now, l, engine)
@@ -120,7 +120,7 @@
 	v, ok := p.list.items[e.ID]
 	if !ok {
 		v := p.list.dropped[e.ID]
-		return v.Entry.Leaving && !v.Entry.another(e)
+		return v.Entry.Leaving && !v.Entry.isOtherIncarnation(e)
 	}
-	return v.Entry.Leaving || v.Entry.another(e)
+	return v.Entry.Leaving || v.Entry.isOtherIncarnation(e)
 }
--- a/internal/pool/says_test.go
+++ b/internal/pool/says_test.go
@@ -20,22 +20,22 @@
 
 // TestOwnWordOfLeaving: that an upstream leaves holds for the life that said so, whatever the
 // store writes of that life, and for no other.
-func TestOwnWordOfLeaving(t *testing.T) {
+func TestLeavingStatedInResponse(t *testing.T) {
 	said := func() *List {
 		l := NewList()
-		l.Put(lifeAt(5, 1, false))
+		l.Put(incarnationAt(5, 1, false))
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		return l
 	}
 	t.Run("an entry that says ready", func(t *testing.T) {
 		l := said()
-		l.Put(lifeAt(5, 2, false))
+		l.Put(incarnationAt(5, 2, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
 	t.Run("an entry that went and came again", func(t *testing.T) {
 		l := said()
 		l.Delete(start, "a")
-		l.Put(lifeAt(5, 9, false))
+		l.Put(incarnationAt(5, 9, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
 	t.Run("one that lapsed with the store, too", func(t *testing.T) {
@@ -43,13 +43,13 @@
 		l.StoreReturned(start)
 		l.Replace(start, 9, nil)
 		l.Expire(start.Add(lapseGrace))
-		l.Put(lifeAt(5, 10, false))
+		l.Put(incarnationAt(5, 10, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
 	t.Run("a word that comes while the entry is away", func(t *testing.T) {
 		l := NewList()
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
-		l.Put(lifeAt(5, 1, false))
+		l.Put(incarnationAt(5, 1, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
 	t.Run("which is taken for known then", func(t *testing.T) {
@@ -62,32 +62,32 @@
 	})
 	t.Run("the next life is used", func(t *testing.T) {
 		l := said()
-		l.Put(lifeAt(6, 2, false))
+		l.Put(incarnationAt(6, 2, false))
 		assert.False(t, leavingOf(l, "a"))
 	})
 	t.Run("also after its entry was away", func(t *testing.T) {
 		l := said()
 		l.Delete(start, "a")
-		l.Put(lifeAt(6, 2, false))
+		l.Put(incarnationAt(6, 2, false))
 		assert.False(t, leavingOf(l, "a"))
 	})
 	t.Run("a late word of the life before changes nothing", func(t *testing.T) {
 		l := said()
-		l.Put(lifeAt(6, 2, false))
+		l.Put(incarnationAt(6, 2, false))
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		assert.False(t, leavingOf(l, "a"))
 	})
 	t.Run("what is remembered of lives that are gone is bounded", func(t *testing.T) {
 		l := NewList()
-		for i := range 3 * idsKept {
+		for i := range 3 * maxIDs {
 			l.MarkLeaving(Entry{ID: string(rune(i)), Born: 1})
 		}
-		assert.LessOrEqual(t, len(l.dropped), idsKept)
+		assert.LessOrEqual(t, len(l.dropped), maxIDs)
 	})
 }
 
 // rest lets an upstream ask for rest.
-func rest(p *Pools, id string, d time.Duration) {
+func startCooldown(p *Pools, id string, d time.Duration) {
 	for _, v := range p.Items() {
 		if v.Entry.ID == id {
 			p.StartCooldown(v.Entry, d)
@@ -96,10 +96,10 @@
 }
 
 // TestRest plays rests of upstreams on a clock.
-func TestRest(t *testing.T) {
+func TestCooldown(t *testing.T) {
 	newPools := func() (*timer.Manual, *Pools) {
 		c := timer.NewManual(start)
-		return c, cutPools(c)
+		return c, twoHalls(c)
 	}
 	picks := func(p *Pools, id string) bool {
 		u := pickFrom(p, id)
@@ -110,7 +110,7 @@
 	}
 	t.Run("nothing until it ends, and then at once", func(t *testing.T) {
 		c, p := newPools()
-		rest(p, "a1", 3*time.Second)
+		startCooldown(p, "a1", 3*time.Second)
 		assert.False(t, picks(p, "a1"))
 		c.Advance(3*time.Second - 1)
 		assert.False(t, picks(p, "a1"))
@@ -119,20 +119,20 @@
 	})
 	t.Run("a shorter word doesn't cut a longer one", func(t *testing.T) {
 		c, p := newPools()
-		rest(p, "a1", 3*time.Second)
-		rest(p, "a1", time.Second)
+		startCooldown(p, "a1", 3*time.Second)
+		startCooldown(p, "a1", time.Second)
 		c.Advance(2 * time.Second)
 		assert.False(t, picks(p, "a1"))
 	})
 	t.Run("a relay's word doesn't go past it", func(t *testing.T) {
 		_, p := newPools()
-		rest(p, "a1", time.Second)
+		startCooldown(p, "a1", time.Second)
 		u := p.PickAt(Request{ID: "x", Service: "s"}, "a1")
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
 	t.Run("nor is it the last resort when all others are ejected", func(t *testing.T) {
 		_, p := newPools()
-		rest(p, "a1", time.Second)
+		startCooldown(p, "a1", time.Second)
 		for range 20 {
 			for _, id := range []string{"a2", "b1", "b2"} {
 				pickFrom(p, id).End(ResultFailed)
@@ -154,7 +154,7 @@
 		e := pickFrom(p, "a1").Entry()
 		e.Born = 5
 		p.Update(func(l *List) { l.Put(Item{Entry: e, Revision: 2}) })
-		rest(p, "a1", 3*time.Second)
+		startCooldown(p, "a1", 3*time.Second)
 		e.Born = 6
 		p.Update(func(l *List) { l.Put(Item{Entry: e, Revision: 3}) })
 		assert.True(t, picks(p, "a1"))
@@ -163,7 +163,7 @@
 		c, p := newPools()
 		for i, id := range []string{"a1", "a2", "b1", "b2"} {
 			assert.Zero(t, p.RetryAfter("s"))
-			rest(p, id, time.Duration(i+2)*time.Second)
+			startCooldown(p, id, time.Duration(i+2)*time.Second)
 		}
 		assert.Equal(t, 2*time.Second, p.RetryAfter("s"))
 		c.Advance(1500 * time.Millisecond)
@@ -181,7 +181,7 @@
 }
 
 // TestListOverAnOlderCopy: the store comes back from a copy, with older entries and lower numbers.
-func TestListOverAnOlderCopy(t *testing.T) {
+func TestListAfterRestoreOfOlderCopy(t *testing.T) {
 	entry := func(id string, revision int64) Item { return item(id, revision) }
 	held := func(t *testing.T) *List {
 		l := NewList()
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -14,7 +14,7 @@
 // calm is a load that one upstream could carry alone: requests one after the other, as a quiet hour
 // has them. Nothing but what is believed of the upstreams tells them apart, so it is the load that shows
 // a belief that has no ground.
-type calm struct {
+type lightLoad struct {
 	clock  *timer.Manual
 	p      *Pools
 	engine bool
@@ -23,7 +23,7 @@
 	n      int
 }
 
-func newCalm(engine bool, takes map[string]time.Duration) *calm {
+func newLightLoad(engine bool, takes map[string]time.Duration) *lightLoad {
 	c := timer.NewManual(start)
 	p := New(c.Service(), "self", "h")
 	for id := range takes {
@@ -32,11 +32,11 @@
 		})
 	}
 	c.Advance(versionGrace)
-	return &calm{clock: c, p: p, engine: engine, takes: takes, gets: make(map[string]int)}
+	return &lightLoad{clock: c, p: p, engine: engine, takes: takes, gets: make(map[string]int)}
 }
 
 // play lets requests come for so long, and returns how many each upstream got.
-func (l *calm) play(d time.Duration) map[string]int {
+func (l *lightLoad) play(d time.Duration) map[string]int {
 	clear(l.gets)
 	for until := l.clock.Service().Now().Add(d); l.clock.Service().Now().Before(until); {
 		l.n++
@@ -54,7 +54,7 @@
 }
 
 // stall lets one answer of an upstream take that long.
-func (l *calm) stall(id string, d time.Duration) {
+func (l *lightLoad) stall(id string, d time.Duration) {
 	n := Request{ID: "stall", Service: "s", Engine: l.engine, Excluded: make(map[string]bool)}
 	for v := range l.takes {
 		n.Excluded[v] = v != id
@@ -66,7 +66,7 @@
 }
 
 // restart is the next life of an upstream.
-func (l *calm) restart(id string, born int64) {
+func (l *lightLoad) restart(id string, born int64) {
 	l.p.Update(func(v *List) {
 		v.Put(Item{Entry: Entry{ID: id, Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8, Born: born}, Revision: born})
 	})
@@ -91,24 +91,24 @@
 	for name, engine := range map[string]bool{"plain": false, "engine": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Run("upstreams that are alike are used alike", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
 				assertShare(t, l.play(20*time.Second), "a", 0.4, 0.6)
 			})
 			t.Run("a new life is used at once", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
 				l.play(10 * time.Second)
 				l.restart("a", 2)
 				assertShare(t, l.play(time.Second), "a", 0.2, 0.8)
 			})
 			t.Run("the next life of a slow one, too", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 40 * time.Millisecond, "b": 5 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 40 * time.Millisecond, "b": 5 * time.Millisecond})
 				l.play(10 * time.Second)
 				l.takes["a"] = 5 * time.Millisecond
 				l.restart("a", 2)
 				assertShare(t, l.play(time.Second), "a", 0.2, 0.8)
 			})
 			t.Run("one answer that stalls says little, of its upstream and of the others", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond, "c": 5 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond, "c": 5 * time.Millisecond})
 				l.play(5 * time.Second)
 				l.stall("a", 10*time.Second)
 				gets := l.play(2 * time.Second)
@@ -118,12 +118,12 @@
 				assertShare(t, l.play(2*time.Second), "a", 0.2, 0.5)
 			})
 			t.Run("a slow one gets little", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond, "c": 50 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond, "c": 50 * time.Millisecond})
 				l.play(5 * time.Second)
 				assertShare(t, l.play(20*time.Second), "a", 0, 0.1)
 			})
 			t.Run("and its share again soon after it is as fast as the others", func(t *testing.T) {
-				l := newCalm(engine, map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond, "c": 50 * time.Millisecond})
+				l := newLightLoad(engine, map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond, "c": 50 * time.Millisecond})
 				l.play(10 * time.Second)
 				l.takes["a"] = 50 * time.Millisecond
 				l.play(5 * time.Second)
@@ -138,7 +138,7 @@
 func TestPaceBounds(t *testing.T) {
 	var p pace
 	for range 100 {
-		p.take(start, 0.01)
+		p.observe(start, 0.01)
 	}
-	assert.Equal(t, fastest, p.slowness(start))
+	assert.Equal(t, minSlowness, p.slowness(start))
 }
--- a/internal/pool/split.go
+++ b/internal/pool/split.go
@@ -23,11 +23,11 @@
 // Split says which versions of a service take which requests. Its zero value lets all take
 // all.
 type Split struct {
-	Target   string          // version that is rolled out; empty: none
-	ToTarget bool            // what isn't on trial goes to the target, if any of it is there
-	TargetAsFallback   bool            // the target takes what isn't on trial if nothing else is there
+	Target           string          // version that is rolled out; empty: none
+	ToTarget         bool            // what isn't on trial goes to the target, if any of it is there
+	TargetAsFallback bool            // the target takes what isn't on trial if nothing else is there
 	TrialUpstreams   int             // upstreams of the target that take requests on trial
-	Barred   map[string]bool // versions that take nothing
+	Barred           map[string]bool // versions that take nothing
 }
 
 // SetSplit sets which versions of a service take which requests.
@@ -65,7 +65,7 @@
 
 // noteVersion notes when a version of a service was first seen. Those of the first list are
 // no news.
-func (p *Pools) noteVersion(now time.Time, e Entry) {
+func (p *Pools) recordVersion(now time.Time, e Entry) {
 	v := p.versions[e.Service]
 	if v == nil {
 		v = make(map[string]time.Time)
@@ -74,7 +74,7 @@
 	if _, ok := v[e.Version]; ok {
 		return
 	}
-	if len(v) == 0 || !p.filled {
+	if len(v) == 0 || !p.listRead {
 		now = time.Time{}
 	}
 	v[e.Version] = now
@@ -104,7 +104,7 @@
 func (p *Pools) Versions(service, version string) (of, others, running int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gatherOthers(p.clock.Now(), service, p.engine(p.clock.Now(), service))
+	p.sumPeerLoad(p.clock.Now(), service, p.engine(p.clock.Now(), service))
 	s := p.splits[service]
 	for _, m := range p.services[service] {
 		switch {
@@ -115,7 +115,7 @@
 			others++
 			fallthrough
 		default:
-			running += m.load.Running + int(m.others.running+0.5)
+			running += m.load.Running + int(m.peers.running+0.5)
 		}
 	}
 	return of, others, running
--- a/internal/pool/unseen.go
+++ b/internal/pool/unseen.go
@@ -20,24 +20,24 @@
 // the best of a few drawn at random, on paper only: it forgets where a prompt's parts are cached.
 
 // unseenMost is the most that an upstream is taken to have got, in averages.
-const unseenMost = 4
+const maxUnreportedFactor = 4
 
 // unseen is what other nodes have sent to an upstream of a service since their last word on
 // average, in milliseconds of its time. running is the others' requests there as they told,
 // and age how old that is, on average, in milliseconds.
-func (p *Pools) unseen(name string, running, age float64) float64 {
+func (p *Pools) unreported(name string, running, age float64) float64 {
 	s, members := p.service(name), p.services[name]
-	if len(members) == 0 || s.lasts <= 0 {
+	if len(members) == 0 || s.durationMs <= 0 {
 		return 0
 	}
-	requests := running * age / s.lasts / float64(len(members))
-	if s.reads > 0 {
-		return s.engine.Read(requests * s.reads)
+	requests := running * age / s.durationMs / float64(len(members))
+	if s.uncachedTokens > 0 {
+		return s.engine.Read(requests * s.uncachedTokens)
 	}
-	return requests * plainFull * s.answer / float64(max(members[0].entry.Slots, 1))
+	return requests * plainFullFactor * s.responseMs / float64(max(members[0].entry.Slots, 1))
 }
 
 // luck is a number from 0 to 1 for a request at an upstream.
-func luck(request, upstream string) float64 {
+func randomTieBreak(request, upstream string) float64 {
 	return float64(xxhash.Sum64String(request+"\x00"+upstream)>>11) / (1 << 53)
 }
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -13,39 +13,39 @@
 
 // Use is one request's use of an upstream, from the choice to its end.
 type Use struct {
-	p       *Pools
-	m       *member
-	entry   Entry // as it was chosen
-	choice  Choice
-	begun   time.Time
-	engine  bool
-	prompt  float64 // counted as queued until the first event
-	held    float64
-	expect  float64       // milliseconds to the first event, as guessed
-	reads   float64       // prompt tokens read before the first event, as guessed
-	output  float64       // tokens that go out at most
-	rank    int           // among the target's upstreams of a roll-out; notRanked: none of these
-	untried bool          // of a version that is on trial: it tells nothing of the service's upstreams
-	fetch   string        // address of the upstream that it takes cached parts from
-	work    capacity.Work // counted as sent
-	first   time.Time
-	started bool
-	ended   bool
-	turn    bool // it was counted against its upstream's limit by this node
+	p            *Pools
+	m            *member
+	entry        Entry // as it was chosen
+	choice       Choice
+	sentAt       time.Time
+	engine       bool
+	prompt       float64 // counted as queued until the first event
+	reserved     float64
+	expectedMs   float64       // milliseconds to the first event, as guessed
+	reads        float64       // prompt tokens read before the first event, as guessed
+	output       float64       // tokens that go out at most
+	rank         int           // among the target's upstreams of a roll-out; notRanked: none of these
+	onTrial      bool          // of a version that is on trial: it tells nothing of the service's upstreams
+	fetch        string        // address of the upstream that it takes cached parts from
+	work         capacity.Work // counted as sent
+	firstEventAt time.Time
+	started      bool
+	ended        bool
+	countedLimit bool // it was counted against its upstream's limit by this node
 }
 
 // Choice is what an upstream was chosen by.
 type Choice struct {
-	Candidates int           // upstreams looked at
-	Limited    int           // others, whose limits were used up
-	Running    int           // requests there, of all nodes
-	Queued     float64       // prompt tokens there without a first token
-	Cached     float64       // tokens of the prompt taken to be cached there
-	Fetched    float64       // tokens of the prompt to be taken from another upstream
-	Slowness   float64       // times as long as usual that its answers are taken to last
-	Revision   int64         // of the list
-	ByRelay    bool          // a relay chose it
-	OldestReport     time.Duration // age of the oldest report of another node that counted
+	Candidates   int           // upstreams looked at
+	Limited      int           // others, whose limits were used up
+	Running      int           // requests there, of all nodes
+	Queued       float64       // prompt tokens there without a first token
+	Cached       float64       // tokens of the prompt taken to be cached there
+	Fetched      float64       // tokens of the prompt to be taken from another upstream
+	Slowness     float64       // times as long as usual that its answers are taken to last
+	Revision     int64         // of the list
+	ByRelay      bool          // a relay chose it
+	OldestReport time.Duration // age of the oldest report of another node that counted
 }
 
 // Choice returns what the upstream was chosen by.
@@ -59,10 +59,10 @@
 func (u *Use) Lag() float64 {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
-	if u.first.IsZero() {
+	if u.firstEventAt.IsZero() {
 		return 0
 	}
-	return float64(u.first.Sub(u.begun)) / float64(time.Millisecond) / u.expect
+	return float64(u.firstEventAt.Sub(u.sentAt)) / float64(time.Millisecond) / u.expectedMs
 }
 
 // Fetch returns the address of the upstream that has more of the prompt cached, if the one
@@ -85,28 +85,28 @@
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
 	u.start()
-	u.first = u.p.clock.Now()
-	u.p.reached[u.entry.Hall], u.m.answered = u.first, u.first
-	after := u.first.Sub(u.begun)
+	u.firstEventAt = u.p.clock.Now()
+	u.p.lastResponse[u.entry.Hall], u.m.respondedAt = u.firstEventAt, u.firstEventAt
+	after := u.firstEventAt.Sub(u.sentAt)
 	ms := float64(after) / float64(time.Millisecond)
 	s := u.p.service(u.entry.Service)
 	switch {
-	case u.untried:
+	case u.onTrial:
 	case u.engine && u.fetch == "":
-		s.learner.First(u.first, u.reads, after)
+		s.learner.First(u.firstEventAt, u.reads, after)
 	case !u.engine:
-		s.answer += answerGain * (ms - s.answer)
+		s.responseMs += responseGain * (ms - s.responseMs)
 	}
-	s.lags(ms - u.expect)
-	u.m.pace.take(u.first, s.relative(ms/u.expect))
+	s.observeLag(ms - u.expectedMs)
+	u.m.pace.observe(u.firstEventAt, s.relativeToUsual(ms/u.expectedMs))
 }
 
 // lags takes in by how many milliseconds a first event comes later than expected.
-func (s *service) lags(ms float64) { s.lag += lagGain * (max(0, ms) - s.lag) }
+func (s *service) observeLag(ms float64) { s.lagMs += lagGain * (max(0, ms) - s.lagMs) }
 
 // outOfLine is how many times as late as the service's upstreams are lately one may be before
 // it is out of line with them.
-const outOfLine = 3.0
+const lagTolerance = 3.0
 
 // WaitLimit is the silence after which the upstream is out of line with the service's others.
 // While all of them lag, a request that is begun anew waits elsewhere as long, and its prompt
@@ -114,14 +114,14 @@
 func (u *Use) WaitLimit() time.Duration {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
-	return time.Duration((u.expect + outOfLine*u.p.service(u.entry.Service).lag) * float64(time.Millisecond))
+	return time.Duration((u.expectedMs + lagTolerance*u.p.service(u.entry.Service).lagMs) * float64(time.Millisecond))
 }
 
 // TimedOut says that the use is given up after that silence: its upstream is that late at least.
 func (u *Use) TimedOut(after time.Duration) {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
-	u.p.service(u.entry.Service).lags(float64(after)/float64(time.Millisecond) - u.expect)
+	u.p.service(u.entry.Service).observeLag(float64(after)/float64(time.Millisecond) - u.expectedMs)
 }
 
 func (u *Use) start() {
@@ -144,42 +144,42 @@
 	u.ended = true
 	u.start()
 	if r == ResultGood {
-		u.learn()
+		u.observeDuration()
 	}
 	u.m.load.Running--
-	u.m.load.Reserved -= u.held
+	u.m.load.Reserved -= u.reserved
 	u.judge(r)
 }
 
 // learn takes in how long a request took that ended well.
-func (u *Use) learn() {
+func (u *Use) observeDuration() {
 	s, now := u.p.service(u.entry.Service), u.p.clock.Now()
-	s.lasts += answerGain * (float64(now.Sub(u.begun))/float64(time.Millisecond) - s.lasts)
-	if u.engine && !u.first.IsZero() && !u.untried {
-		s.learner.Last(u.output, now.Sub(u.first))
+	s.durationMs += responseGain * (float64(now.Sub(u.sentAt))/float64(time.Millisecond) - s.durationMs)
+	if u.engine && !u.firstEventAt.IsZero() && !u.onTrial {
+		s.learner.Last(u.output, now.Sub(u.firstEventAt))
 	}
 }
 
 // take counts work that is sent, less what was counted before and not taken: the sum only
 // grows, since one that falls is taken for a new process's.
-func (s *service) take(w capacity.Work) {
+func (s *service) addWork(w capacity.Work) {
 	less := func(work, untaken *float64, x float64) {
 		d := min(x, *untaken)
 		*untaken -= d
 		*work += x - d
 	}
-	less(&s.work.Reading, &s.untaken.Reading, w.Reading)
-	less(&s.work.Slots, &s.untaken.Slots, w.Slots)
-	less(&s.work.Memory, &s.untaken.Memory, w.Memory)
+	less(&s.work.Reading, &s.notExecuted.Reading, w.Reading)
+	less(&s.work.Slots, &s.notExecuted.Slots, w.Slots)
+	less(&s.work.Memory, &s.notExecuted.Memory, w.Memory)
 }
 
 func (u *Use) judge(r Result) {
-	if u.turn && (r == ResultUnreachable || r == ResultMisplaced) {
+	if u.countedLimit && (r == ResultUnreachable || r == ResultMisplaced) {
 		u.p.limits.Return(u.entry.Incarnation())
 	}
 	if r == ResultUnreachable || r == ResultRejected || r == ResultMisplaced {
 		s := u.p.service(u.entry.Service)
-		s.untaken = s.untaken.Plus(u.work)
+		s.notExecuted = s.notExecuted.Plus(u.work)
 	}
 	o := u.p.outlier(u.m.entry.Service)
 	now, id := u.p.clock.Now(), u.m.entry.ID
@@ -192,14 +192,14 @@
 		u.m.failures += failureGain * (1 - u.m.failures)
 	case ResultRejected:
 		o.Inconclusive(now.Sub(u.p.start), id)
-		u.m.refused = now
+		u.m.fullAt = now
 	case ResultUnreachable:
 		o.Failure(now.Sub(u.p.start), id, len(u.p.services[u.m.entry.Service]))
 		u.m.failures += failureGain * (1 - u.m.failures)
-		u.m.silent, u.m.failed = now, now
+		u.m.unreachableAt, u.m.failedAt = now, now
 	case ResultMisplaced:
 		o.Inconclusive(now.Sub(u.p.start), id)
-		u.m.gone = true
+		u.m.misplaced = true
 	case ResultInconclusive:
 		o.Inconclusive(now.Sub(u.p.start), id)
 	}
--- a/internal/pool/work_test.go
+++ b/internal/pool/work_test.go
@@ -11,7 +11,7 @@
 // TestWorkIsWhatUpstreamsTake: tries that brought an upstream no work aren't load. While a
 // hall is cut off, each of its requests tries several of the others' upstreams in vain; when
 // its nodes are heard again, that counted as load, and twice as much as came was ordered for.
-func TestWorkIsWhatUpstreamsTake(t *testing.T) {
+func TestUnexecutedAttemptsAddNoWork(t *testing.T) {
 	c := timer.NewManual(start)
 	p := fetchPoolsAt(c)
 	last := 0.0
--- a/internal/retry/outlier.go
+++ b/internal/retry/outlier.go
@@ -11,34 +11,34 @@
 // then probed with one request. Never more than a share of the pool is ejected: if
 // everything fails, the fault is elsewhere, and ejecting the rest makes it worse.
 type Outliers struct {
-	life    *chart.Chart
-	share   float64
-	after   int
-	first   time.Duration
-	longest time.Duration
-	health  map[string]*health
+	chart         *chart.Chart
+	maxShare      float64
+	ejectAfter    int
+	firstEjection time.Duration
+	maxEjection   time.Duration
+	health        map[string]*health
 }
 
 type health struct {
-	life  *chart.Life
-	fails int
-	times int // ejections in a row
-	until time.Duration
+	state     *chart.Life
+	failures  int
+	ejections int // ejections in a row
+	until     time.Duration
 }
 
 // NewOutliers returns the health of a pool of which at most that share may be
 // ejected.
 func NewOutliers(share float64) *Outliers {
 	return &Outliers{
-		life: chart.Load("upstream"), share: share, after: 3,
-		first: 2 * time.Second, longest: 60 * time.Second, health: make(map[string]*health),
+		chart: chart.Load("upstream"), maxShare: share, ejectAfter: 3,
+		firstEjection: 2 * time.Second, maxEjection: 60 * time.Second, health: make(map[string]*health),
 	}
 }
 
 func (o *Outliers) get(id string) *health {
 	h := o.health[id]
 	if h == nil {
-		h = &health{life: o.life.Begin()}
+		h = &health{state: o.chart.Begin()}
 		o.health[id] = h
 	}
 	return h
@@ -48,10 +48,10 @@
 // after its time is up makes it a probe, which only that one caller may send.
 func (o *Outliers) Usable(now time.Duration, id string) bool {
 	h := o.health[id]
-	if h == nil || h.life.Is("live") {
+	if h == nil || h.state.Is("live") {
 		return true
 	}
-	if h.life.Is("ejected") && now >= h.until {
+	if h.state.Is("ejected") && now >= h.until {
 		return true
 	}
 	return false
@@ -60,15 +60,15 @@
 // Failing tells whether the upstream's newest answer that tells something was a failure.
 func (o *Outliers) Failing(id string) bool {
 	h := o.health[id]
-	return h != nil && h.fails > 0
+	return h != nil && h.failures > 0
 }
 
 // Sending notes that a request goes to the upstream: to an ejected one, it is the
 // probe.
 func (o *Outliers) Sending(id string) {
 	h := o.health[id]
-	if h != nil && h.life.Is("ejected") {
-		_ = h.life.Fire("probe")
+	if h != nil && h.state.Is("ejected") {
+		_ = h.state.Fire("probe")
 	}
 }
 
@@ -78,9 +78,9 @@
 	if h == nil {
 		return
 	}
-	h.fails, h.times = 0, 0
-	if h.life.Is("probing") {
-		_ = h.life.Fire("pass")
+	h.failures, h.ejections = 0, 0
+	if h.state.Is("probing") {
+		_ = h.state.Fire("pass")
 	}
 }
 
@@ -88,8 +88,8 @@
 // or it was refused. A probe that ends so may be repeated at once.
 func (o *Outliers) Inconclusive(now time.Duration, id string) {
 	h := o.health[id]
-	if h != nil && h.life.Is("probing") {
-		_ = h.life.Fire("unclear")
+	if h != nil && h.state.Is("probing") {
+		_ = h.state.Fire("unclear")
 		h.until = now
 	}
 }
@@ -98,29 +98,29 @@
 // whether it led to an ejection.
 func (o *Outliers) Failure(now time.Duration, id string, size int) bool {
 	h := o.get(id)
-	h.fails++
-	probing := h.life.Is("probing")
-	if !probing && (h.fails < o.after || !o.room(size)) {
+	h.failures++
+	probing := h.state.Is("probing")
+	if !probing && (h.failures < o.ejectAfter || !o.canEject(size)) {
 		return false
 	}
-	if !probing && !h.life.Is("live") {
+	if !probing && !h.state.Is("live") {
 		return false
 	}
-	_ = h.life.Fire("eject")
-	d := min(o.first<<min(h.times, 6), o.longest)
-	h.times++
+	_ = h.state.Fire("eject")
+	d := min(o.firstEjection<<min(h.ejections, 6), o.maxEjection)
+	h.ejections++
 	h.until = now + d
 	return true
 }
 
-func (o *Outliers) room(size int) bool {
+func (o *Outliers) canEject(size int) bool {
 	n := 0
 	for _, h := range o.health {
-		if h.life.Is("ejected") || h.life.Is("probing") {
+		if h.state.Is("ejected") || h.state.Is("probing") {
 			n++
 		}
 	}
-	return float64(n+1) <= o.share*float64(size)
+	return float64(n+1) <= o.maxShare*float64(size)
 }
 
 // Forget drops an upstream that is gone.
--- a/internal/retry/rests.go
+++ b/internal/retry/rests.go
@@ -39,7 +39,9 @@
 func (r *Cooldowns) Forget(l Incarnation) { delete(r.until, l) }
 
 // Remaining returns how long an upstream is to get nothing; 0: it may be asked.
-func (r *Cooldowns) Remaining(now time.Time, l Incarnation) time.Duration { return max(0, r.until[l].Sub(now)) }
+func (r *Cooldowns) Remaining(now time.Time, l Incarnation) time.Duration {
+	return max(0, r.until[l].Sub(now))
+}
 
 // ShortestRemaining returns how long it takes until the first of some upstreams may be asked; 0: one may be now,
 // or there are none.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -44,12 +44,12 @@
 
 // Attempt is what is known of a request whose last attempt has failed.
 type Attempt struct {
-	Repeatable bool // it may run again after it may have run
-	MayHaveRun bool // some attempt of it may have
-	Sent       int  // attempts that count
-	MaxSent       int  // of these, at most
-	TimeLeft       time.Duration
-	MinTimeLeft      time.Duration // time left that makes another attempt worth its cost
+	Repeatable  bool // it may run again after it may have run
+	MayHaveRun  bool // some attempt of it may have
+	Sent        int  // attempts that count
+	MaxSent     int  // of these, at most
+	TimeLeft    time.Duration
+	MinTimeLeft time.Duration // time left that makes another attempt worth its cost
 }
 
 // Verdict is what to do after a failed attempt.
@@ -67,11 +67,11 @@
 
 // The reasons.
 const (
-	ReasonNone     Reason = iota
-	ReasonDeadline            // the time for an answer is over, or nearly so
-	ReasonNotRepeatable            // it may have run and may not run twice
-	ReasonAttempts        // it has had as many as it may
-	ReasonBudget          // the budget is spent
+	ReasonNone          Reason = iota
+	ReasonDeadline             // the time for an answer is over, or nearly so
+	ReasonNotRepeatable        // it may have run and may not run twice
+	ReasonAttempts             // it has had as many as it may
+	ReasonBudget               // the budget is spent
 )
 
 // Decide says what follows a failed attempt. take spends one retry of whatever budget there
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -84,7 +84,7 @@
 			}
 			out := 0
 			for _, h := range o.health {
-				if !h.life.Is("live") {
+				if !h.state.Is("live") {
 					out++
 				}
 			}
--- a/internal/retry/tries.go
+++ b/internal/retry/tries.go
@@ -15,17 +15,17 @@
 // Weighed: a larger number for all. A hall that is cut off costs the time-out of a connection at each
 // of its upstreams, and the caller would be told late what is known after a few.
 type SearchLimit struct {
-	turned int // upstreams that were reached and didn't take it, in vain either way
-	missed int // upstreams that couldn't be reached
-	lost   time.Duration
+	reached     int // upstreams that were reached and didn't take it, in vain either way
+	unreachable int // upstreams that couldn't be reached
+	timeLost    time.Duration
 }
 
 const (
 	// triesMost is the upstreams that are looked at whatever is known of them.
-	triesMost = 5
+	maxUpstreams = 5
 	// lostMost is the time that a request spends, beyond these tries, on finding upstreams that are
 	// dead: some round trips between halls, and less than the time-out of one connection.
-	lostMost = 100 * time.Millisecond
+	maxTimeLost = 100 * time.Millisecond
 )
 
 // SearchScope is where the next try may go.
@@ -33,29 +33,29 @@
 
 // The searches.
 const (
-	ScopeAll   SearchScope = iota // to any upstream
-	ScopeReachable               // to one that this node hasn't failed to reach lately
-	ScopeNone                // to none
+	ScopeAll       SearchScope = iota // to any upstream
+	ScopeReachable                    // to one that this node hasn't failed to reach lately
+	ScopeNone                         // to none
 )
 
 // RecordReached notes an upstream that was reached.
-func (t *SearchLimit) RecordReached() { t.turned++ }
+func (t *SearchLimit) RecordReached() { t.reached++ }
 
 // RecordUnreachable notes an upstream that couldn't be reached, which took that long to find out.
 func (t *SearchLimit) RecordUnreachable(took time.Duration) {
-	t.missed++
-	t.lost += took
+	t.unreachable++
+	t.timeLost += took
 }
 
 // Reached returns how many upstreams were reached.
-func (t *SearchLimit) Reached() int { return t.turned }
+func (t *SearchLimit) Reached() int { return t.reached }
 
 // Next returns where the next try may go.
 func (t *SearchLimit) Next() SearchScope {
 	switch {
-	case t.turned+t.missed < triesMost:
+	case t.reached+t.unreachable < maxUpstreams:
 		return ScopeAll
-	case t.turned < triesMost && t.missed > 0 && t.lost < lostMost:
+	case t.reached < maxUpstreams && t.unreachable > 0 && t.timeLost < maxTimeLost:
 		return ScopeReachable
 	}
 	return ScopeNone
--- a/internal/retry/tries_test.go
+++ b/internal/retry/tries_test.go
@@ -26,14 +26,14 @@
 
 func TestTries(t *testing.T) {
 	const quick = 500 * time.Microsecond
-	t.Run("upstreams that turn a request away are bounded by number", func(t *testing.T) { assert.Equal(t, triesMost, search(99, 0, 99)) })
+	t.Run("upstreams that turn a request away are bounded by number", func(t *testing.T) { assert.Equal(t, maxUpstreams, search(99, 0, 99)) })
 	t.Run("dead ones aren't", func(t *testing.T) { assert.Equal(t, 99, search(0, quick, 99)) })
 	t.Run("nor after one that was full", func(t *testing.T) { assert.Equal(t, 99, search(1, quick, 99)) })
 	t.Run("but by the time lost on them", func(t *testing.T) { assert.Equal(t, 100, search(0, time.Millisecond, 300)) })
-	t.Run("silent ones cost a connection's time-out each", func(t *testing.T) { assert.Equal(t, triesMost, search(0, 250*time.Millisecond, 99)) })
+	t.Run("silent ones cost a connection's time-out each", func(t *testing.T) { assert.Equal(t, maxUpstreams, search(0, 250*time.Millisecond, 99)) })
 	t.Run("beyond them only to those that weren't found dead", func(t *testing.T) {
 		var v SearchLimit
-		for range triesMost {
+		for range maxUpstreams {
 			assert.Equal(t, ScopeAll, v.Next())
 			v.RecordUnreachable(quick)
 		}
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -17,7 +17,7 @@
 	slot    time.Duration
 	firsts  [windowSlots]float64
 	repeats [windowSlots]float64
-	at      int64 // number of the newest slot
+	newest  int64 // number of the newest slot
 }
 
 const (
@@ -33,25 +33,25 @@
 // SetExtra changes this node's part of the extra.
 func (w *Window) SetExtra(a float64) { w.extra = a }
 
-func (w *Window) turn(now time.Duration) int {
+func (w *Window) advance(now time.Duration) int {
 	n := int64(now / w.slot)
-	if n-w.at > windowSlots {
-		w.at = n - windowSlots
+	if n-w.newest > windowSlots {
+		w.newest = n - windowSlots
 	}
-	for w.at < n {
-		w.at++
-		i := w.at % windowSlots
+	for w.newest < n {
+		w.newest++
+		i := w.newest % windowSlots
 		w.firsts[i], w.repeats[i] = 0, 0
 	}
-	return int(w.at % windowSlots)
+	return int(w.newest % windowSlots)
 }
 
 // First notes a request sent for the first time.
-func (w *Window) First(now time.Duration) { w.firsts[w.turn(now)]++ }
+func (w *Window) First(now time.Duration) { w.firsts[w.advance(now)]++ }
 
 // Take spends one repeat, or says that none is left.
 func (w *Window) Take(now time.Duration) bool {
-	at := w.turn(now)
+	at := w.advance(now)
 	firsts, repeats := 0.0, 0.0
 	oldest := (at + 1) % windowSlots
 	for i := range w.firsts {
