--- a/internal/pool/choose.go
+++ b/internal/pool/choose.go
@@ -10,81 +10,82 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file is the choice itself. It is pure: everything it weighs comes in.
+// This file implements the choice of an upstream. It is a pure function of its arguments.
 //
-// Candidates are compared by the time until this request's first event. With engines, it
-// is that of reading what is queued there already and what of its own prompt isn't cached,
-// at the speed that was learned. Slots that are taken, memory that is nearly full and
-// distance are turned into time, too. Prefix parts thereby pull requests together, and a
-// queue pushes them apart, without a rule for either.
+// Candidates are compared by the expected time until the request's first event. For engines, this is the
+// time to read the prompt tokens that are queued there and those of the request that are not cached, at
+// the learned speed. Occupied slots, memory that is nearly full and distance are converted into time as
+// well. Cached prefix parts thereby attract requests with the same prefix, and queues spread them, without
+// a separate rule for either.
 //
-// Weighed: the rendezvous homes of package route. They need no shared index, but hold
-// every shared part at the size of its set whatever the load of the moment; with a few
-// nodes, an index that each report carries on costs a few hundred bytes a second.
+// Alternatives considered: the rendezvous hashing of package route. It needs no shared index, but spreads
+// each shared part over a fixed number of upstreams whatever the current load is; with a few nodes, an
+// index carried by each report costs a few hundred bytes a second.
 
-// Candidate is what is known of one upstream.
+// Candidate is the state of one upstream as a choice uses it.
 type Candidate struct {
 	ID       string
 	Slots    int
 	SameHall bool
-	Running  float64 // requests there now, of all nodes
-	Queued   float64 // prompt tokens there without a first token
-	Reserved float64 // tokens of memory that running requests take
-	Memory   float64 // tokens; 0: unknown
-	Cached   float64 // tokens of this prompt that are likely cached
-	Fetch    float64 // tokens beyond these that it could take from another upstream
-	FetchMs  float64 // milliseconds that this takes
-	Source   string  // the other upstream's address
-	Slowness float64 // of its answers relative to the pool's, 1 is usual
+	Running  float64 // requests in progress, from all nodes
+	Queued   float64 // prompt tokens waiting for their first token
+	Reserved float64 // tokens of memory reserved by running requests
+	Memory   float64 // capacity in tokens; 0: unknown
+	Cached   float64 // tokens of this prompt that are probably cached
+	Fetch    float64 // further tokens that it could fetch from another upstream
+	FetchMs  float64 // duration of the fetch in milliseconds
+	Source   string  // address of that other upstream
+	Slowness float64 // response times relative to the pool's; 1 is usual
 	Failures float64 // share of recent requests that failed
-	Full     bool    // said that it is full a moment ago
-	Cold     bool    // warming up
-	// Unreachable says that it, or others of its hall, couldn't be reached a moment ago.
+	Full     bool    // it recently rejected a request because it was full
+	Cold     bool    // it is warming up
+	// Unreachable is set if a connection to it, or to several upstreams of its hall, failed recently.
 	Unreachable bool
 }
 
-// Request is what is known of the request and of the service that it goes to.
+// Request describes a request and the service that it is for.
 type Request struct {
 	ID            string
 	Service       string
 	Prompt        float64 // tokens
 	Output        float64
 	Parts         []call.Part
-	Engine        bool // the service has engines
+	Engine        bool // the service runs on engines
 	Trial         bool // it goes to an upstream of a roll-out's target that is on trial
 	Excluded      map[string]bool
-	ReachableOnly bool   // only upstreams that this node hasn't failed to reach lately
-	placed        string // the upstream that a relay has chosen, which has counted it against that one's limit
+	ReachableOnly bool   // only upstreams that this node has not recently failed to reach
+	placed        string // upstream chosen by a relay, which has counted the request against the upstream's limit
 }
 
-// Service is what was learned of a service, as a choice needs it.
+// Service is what was learned of a service, as a choice uses it.
 type Service struct {
-	Engine       capacity.Engine // of one with engines
-	ResponseMs   float64         // milliseconds to an answer's head, of one without
-	UnreportedMs float64         // milliseconds of work that others have sent to an upstream since their last word
+	Engine       capacity.Engine // for a service with engines
+	ResponseMs   float64         // milliseconds to the response header, for a service without engines
+	UnreportedMs float64         // milliseconds of unreported work of other nodes at an upstream
 }
 
-// The weights of a choice, in milliseconds. What depends on the engines is learned; these
-// only put the rest in order, and a service that is twice as fast or slow keeps that order.
+// The weights of a choice, in milliseconds unless stated otherwise. Costs that depend on the engines are
+// learned; these constants only order the other costs, and the order holds for a service that is twice as
+// fast or slow.
 const (
 	// otherHallMs is a round trip between halls of a region.
 	otherHallMs = 2.0
-	// occupiedMs is what an engine costs whose slots are all taken: requests that run make
-	// each step longer, and those that were sent and not yet reported take the last slots.
+	// occupiedMs is the cost of an engine whose slots are all occupied: running requests make each step
+	// longer, and requests that were sent but not yet reported take the last slots.
 	occupiedMs = 170.0
-	// plainFull is what a plain upstream costs whose slots are all taken, in answers' times:
-	// its queue of the requests that other nodes have sent since they reported.
+	// plainFullFactor is the cost of a plain upstream whose slots are all occupied, in response times: the
+	// queue of requests that other nodes have sent since their last report.
 	plainFullFactor = 4.0
-	memoryShare     = 0.9    // of an engine's memory that is used without a penalty
-	memoryWeight    = 4.0    // tokens read a token over that share: each may cost a re-read or two
-	unavailableMs   = 1300.0 // an upstream that is full or can't be reached is asked last
-	warmUpMs        = 330.0  // one that warms up, before one that is full
-	homeBonusMs     = 6.0    // settles where a new prefix goes: all nodes name the same upstream
-	failureWeight   = 8.0    // a share of failures of an eighth doubles the cost
-	baseMs          = 30.0   // what slowness and failures are a part of where nothing is to be read
+	memoryShare     = 0.9    // share of an engine's memory that is used without a penalty
+	memoryWeight    = 4.0    // tokens read per token over that share: each may cost one or two re-reads
+	unavailableMs   = 1300.0 // full or unreachable upstreams are chosen last
+	warmUpMs        = 330.0  // upstreams that warm up are chosen before full ones
+	homeBonusMs     = 6.0    // bonus of the home, so that all nodes place a new prefix at the same upstream
+	failureWeight   = 8.0    // a failure share of one eighth doubles the cost
+	baseMs          = 30.0   // base that slowness and failures scale if nothing has to be read
 )
 
-// Pick returns the index of the cheapest candidate, or -1 if there is none.
+// Pick returns the index of the candidate with the lowest cost, or -1 if there is none.
 func Pick(n Request, s Service, list []Candidate) int {
 	best, least := -1, math.Inf(1)
 	home := homeOf(n, list)
@@ -93,11 +94,11 @@
 		if n.Excluded[c.ID] {
 			continue
 		}
-		x := cost(n, s, c) + maxUnreportedFactor*s.UnreportedMs*randomTieBreak(n.ID, c.ID)
+		x := cost(n, s, c) + maxUnreportedFactor*s.UnreportedMs*randomFraction(n.ID, c.ID)
 		if i == home {
 			x -= homeBonusMs
 		}
-		if x < least || x == least && c.ID < list[best].ID { // the same one on every node
+		if x < least || x == least && c.ID < list[best].ID { // break ties the same way on every node
 			best, least = i, x
 		}
 	}
@@ -137,13 +138,14 @@
 	return wait + e.Read(tokens) + occupiedMs*c.occupied()
 }
 
-// occupied is the share of slots that are taken.
+// occupied returns the share of occupied slots.
 func (c *Candidate) occupied() float64 {
 	return c.Running / float64(max(c.Slots, 1))
 }
 
-// homeOf names the upstream for a prompt whose shared parts are cached nowhere, or for
-// a plain request: the same one on every node, another one for each prompt.
+// homeOf returns the index of the home upstream, by rendezvous hashing: for a prompt whose shared parts
+// are not cached anywhere, and for a plain request. It is the same on every node and differs between
+// prompts.
 func homeOf(n Request, list []Candidate) int {
 	key := n.ID
 	if c := PrefixHashes(n.Parts); len(c) > 1 {
@@ -161,8 +163,8 @@
 	return best
 }
 
-// PrefixHashes returns a hash for each prefix of the parts: a part is cached only together with
-// all those before it.
+// PrefixHashes returns a hash for each prefix of the parts: a part is cached only together with all parts
+// before it.
 func PrefixHashes(p []call.Part) []uint64 {
 	r := make([]uint64, len(p))
 	var b [16]byte
@@ -182,7 +184,7 @@
 	return b
 }
 
-// drained is what is left of a queue of tokens that was reported a while ago.
+// remainingQueue returns what is left of a queue of tokens that was reported the given time ago.
 func remainingQueue(e capacity.Engine, tokens float64, age time.Duration) float64 {
 	waits := e.Read(tokens)
 	if waits <= 0 {
--- a/internal/pool/choose_test.go
+++ b/internal/pool/choose_test.go
@@ -24,7 +24,7 @@
 // learned is a service whose engines read 30 tokens a millisecond.
 var learned = Service{Engine: capacity.Engine{Reading: 30, First: 60, Token: 10, Samples: 100}, ResponseMs: 15}
 
-// assertPicks changes the candidates so that one of them should be chosen, or left.
+// assertPicks lets change modify the candidates, and checks the index of the chosen one.
 func assertPicks(t *testing.T, n Request, change func(l []Candidate), want func(i int) bool) {
 	t.Helper()
 	l := candidates(4)
@@ -37,26 +37,26 @@
 
 func TestPick(t *testing.T) {
 	home := Pick(prompt, learned, candidates(4))
-	t.Run("where the prompt is cached", func(t *testing.T) {
+	t.Run("prefers the one with the prompt cached", func(t *testing.T) {
 		assertPicks(t, prompt, func(l []Candidate) { l[(home+1)%4].Cached = 4000 }, is((home+1)%4))
 	})
-	t.Run("not behind a queue longer than what is cached", func(t *testing.T) {
+	t.Run("avoids a queue longer than the cached prefix", func(t *testing.T) {
 		assertPicks(t, prompt, func(l []Candidate) { l[0].Cached, l[0].Queued = 4000, 9000 }, not(0))
 	})
 	for name, change := range map[string]func(c *Candidate){
-		"full": func(c *Candidate) { c.Running = 8 }, "refused": func(c *Candidate) { c.Full = true }, "failing": func(c *Candidate) { c.Failures = 0.5 },
+		"full": func(c *Candidate) { c.Running = 8 }, "reported full": func(c *Candidate) { c.Full = true }, "failing": func(c *Candidate) { c.Failures = 0.5 },
 		"slow": func(c *Candidate) { c.Slowness = 3 }, "unreachable": func(c *Candidate) { c.Unreachable = true }, "cold": func(c *Candidate) { c.Cold = true }, "out of memory": func(c *Candidate) { c.Reserved = 98_000 },
 	} {
-		t.Run("not one that is "+name, func(t *testing.T) {
+		t.Run("avoids one that is "+name, func(t *testing.T) {
 			assertPicks(t, prompt, func(l []Candidate) { change(&l[home]) }, not(home))
 		})
 	}
-	t.Run("one that is full, if there is no other", func(t *testing.T) {
+	t.Run("a full one if there is no other", func(t *testing.T) {
 		l := candidates(1)
 		l[0].Running = 8
 		assert.Equal(t, 0, Pick(prompt, learned, l))
 	})
-	t.Run("nobody, if all were tried", func(t *testing.T) {
+	t.Run("none if all are excluded", func(t *testing.T) {
 		n := prompt
 		n.Excluded = map[string]bool{"u0": true}
 		assert.Equal(t, -1, Pick(n, learned, candidates(1)))
@@ -68,8 +68,8 @@
 	})
 }
 
-// TestPickIsTheSameOnEveryNode shuffles the candidates: the order in which a node knows
-// them decides nothing.
+// TestPickIsTheSameOnEveryNode shuffles the candidates: the order in which a node has them must not affect
+// the choice.
 func TestPickIsTheSameOnEveryNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := candidates(6)
@@ -90,5 +90,5 @@
 	c := PrefixHashes([]call.Part{{ID: 2}, {ID: 1}, {ID: 3}})
 	assert.Equal(t, a[:2], b[:2])
 	assert.NotEqual(t, a[2], b[2])
-	assert.NotEqual(t, a[2], c[2], "a part counts only behind the same parts")
+	assert.NotEqual(t, a[2], c[2], "the hash of a part depends on the parts before it")
 }
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// This file is when callers may come back that are turned away while all upstreams of a service rest, or have
-// had what they take.
-// Their order is retry.Turns; here is what there is room for.
+// This file computes when rejected callers may return while all upstreams of a service are in a cooldown
+// or have used up their limits. retry.ReturnSchedule assigns the return times; this file provides the
+// capacity.
 
-// RetryAfter returns how long a caller that is turned away now is to stay away, where all upstreams that could
-// take it rest or have had what they take; else 0. Each call takes a turn.
+// RetryAfter returns how long a caller that is rejected now must wait before it returns, if all upstreams
+// that could take its request are in a cooldown or have used up their limits; otherwise 0. Each call
+// assigns a return time.
 func (p *Pools) RetryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	s := p.service(service)
-	var places, pace float64 // of all nodes; pace is in requests a second
+	var slots, pace float64 // over all nodes; pace is in requests a second
 	soonest := time.Duration(0)
 	for _, m := range p.services[service] {
 		if m.entry.Leaving || m.misplaced {
@@ -31,22 +32,22 @@
 		if soonest == 0 || wait < soonest {
 			soonest = wait
 		}
-		ends := float64(m.entry.Slots) * 1000 / s.durationMs
-		if limited && rate < ends {
+		finish := float64(m.entry.Slots) * 1000 / s.durationMs
+		if limited && rate < finish {
 			pace += rate
 			continue
 		}
-		places += float64(m.entry.Slots)
-		pace += ends
+		slots += float64(m.entry.Slots)
+		pace += finish
 	}
 	if soonest == 0 {
 		return 0
 	}
 	nodes := float64(p.nodes(now))
-	return s.returns.Next(now, soonest, places/nodes, pace/nodes)
+	return s.returns.Next(now, soonest, slots/nodes, pace/nodes)
 }
 
-// nodes is how many nodes share the upstreams, this one included: those that were heard of lately.
+// nodes returns how many nodes share the upstreams: this one and those whose reports are recent.
 func (p *Pools) nodes(now time.Time) int {
 	n := 1
 	if now.Sub(p.peerLoadsAt) <= peerLoadTTL {
--- a/internal/pool/comeback_test.go
+++ b/internal/pool/comeback_test.go
@@ -13,8 +13,9 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// resting is pools of nodes that see the same upstreams, all of which have asked each node for rest.
-func coolingPools(clock *timer.Manual, nodes, upstreams, slots int, rest time.Duration) []*Pools {
+// coolingPools returns the pools of several nodes that see the same upstreams, all of which are in a
+// cooldown at each node.
+func coolingPools(clock *timer.Manual, nodes, upstreams, slots int, cooldown time.Duration) []*Pools {
 	var list []*Pools
 	for i := range nodes {
 		p := New(clock.Service(), "self", "h")
@@ -29,14 +30,14 @@
 			}
 		})
 		for _, v := range p.Items() {
-			p.StartCooldown(v.Entry, rest)
+			p.StartCooldown(v.Entry, cooldown)
 		}
 		list = append(list, p)
 	}
 	return list
 }
 
-// most returns the most of some moments that lie in a span of that length.
+// maxInSpan returns the maximum number of moments that lie in a span of the given length.
 func maxInSpan(moments []time.Duration, span time.Duration) int {
 	slices.Sort(moments)
 	n, first := 0, 0
@@ -49,67 +50,68 @@
 	return n
 }
 
-// TestCallersComeBackInOrder: while all upstreams rest for a second, callers are turned away, 400 in all, at three
-// nodes that can't ask each other. Ten upstreams of eight slots serve 80 at once, and as many more in each second
-// that a request lasts. Told the same moment, all 400 came back in one.
+// TestReturnTimesAreSpread: while all upstreams are in a cooldown of one second, three nodes that cannot
+// ask each other reject 400 callers in all. Ten upstreams of eight slots serve 80 requests at once, and as
+// many more in each duration of a request. The test guards against telling all callers the same moment, at
+// which all 400 would return.
 func TestReturnTimesAreSpread(t *testing.T) {
-	const rest, callers = time.Second, 400
+	const cooldown, callers = time.Second, 400
 	for _, nodes := range []int{1, 3} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			clock := timer.NewManual(start)
-			pools := coolingPools(clock, nodes, 10, 8, rest)
+			pools := coolingPools(clock, nodes, 10, 8, cooldown)
 			var back []time.Duration
 			for i := range callers {
-				at := time.Duration(i) * rest / callers
+				at := time.Duration(i) * cooldown / callers
 				clock.Advance(start.Add(at).Sub(clock.Service().Now()))
-				told := pools[i%nodes].RetryAfter("s")
-				assert.GreaterOrEqual(t, at+told, rest, "none is told too early")
-				assert.LessOrEqual(t, at+told, rest+retry.MaxReturnSpread)
-				back = append(back, at+told)
+				wait := pools[i%nodes].RetryAfter("s")
+				assert.GreaterOrEqual(t, at+wait, cooldown, "no caller returns before the end of the cooldown")
+				assert.LessOrEqual(t, at+wait, cooldown+retry.MaxReturnSpread)
+				back = append(back, at+wait)
 			}
 			slices.Sort(back)
-			assert.Equal(t, rest, back[80-nodes], "nor is a place left idle: as many come at once as there are")
+			assert.Equal(t, cooldown, back[80-nodes], "all free slots are used: as many callers return at once as there are slots")
 			assert.LessOrEqual(t, maxInSpan(back, 500*time.Millisecond), 80+40+nodes)
 		})
 	}
-	t.Run("more than the spread holds come evenly", func(t *testing.T) {
-		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
+	t.Run("callers beyond the maximum spread return evenly", func(t *testing.T) {
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, cooldown)[0]
 		var back []time.Duration
 		for range 3 * callers {
 			back = append(back, p.RetryAfter("s"))
 		}
-		assert.LessOrEqual(t, slices.Max(back), rest+retry.MaxReturnSpread)
+		assert.LessOrEqual(t, slices.Max(back), cooldown+retry.MaxReturnSpread)
 		assert.LessOrEqual(t, maxInSpan(back, 500*time.Millisecond), 80+3*40)
 	})
-	t.Run("a single caller is told the end of the rest", func(t *testing.T) {
-		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
-		assert.Equal(t, rest, p.RetryAfter("s"))
+	t.Run("a single caller returns at the end of the cooldown", func(t *testing.T) {
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, cooldown)[0]
+		assert.Equal(t, cooldown, p.RetryAfter("s"))
 	})
-	t.Run("one that doesn't rest", func(t *testing.T) {
-		p := coolingPools(timer.NewManual(start), 1, 2, 8, rest)[0]
+	t.Run("an upstream without a cooldown", func(t *testing.T) {
+		p := coolingPools(timer.NewManual(start), 1, 2, 8, cooldown)[0]
 		p.Update(func(l *List) {
 			l.Put(Item{Entry: Entry{ID: "v", Service: "s", Address: "10.0.0.1:2", Slots: 8}, Revision: 2})
 		})
 		assert.Zero(t, p.RetryAfter("s"))
 	})
-	t.Run("nodes that a relay tells of share the places, too", func(t *testing.T) {
-		p := coolingPools(timer.NewManual(start), 1, 10, 8, rest)[0]
+	t.Run("nodes behind a relay share the slots, too", func(t *testing.T) {
+		p := coolingPools(timer.NewManual(start), 1, 10, 8, cooldown)[0]
 		p.ApplyPeerLoads(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
 		for range 80 / 4 {
-			assert.Equal(t, rest, p.RetryAfter("s"))
+			assert.Equal(t, cooldown, p.RetryAfter("s"))
 		}
-		assert.Greater(t, p.RetryAfter("s"), rest)
+		assert.Greater(t, p.RetryAfter("s"), cooldown)
 	})
-	t.Run("the next rest begins anew", func(t *testing.T) {
+	t.Run("the next cooldown starts a new schedule", func(t *testing.T) {
 		clock := timer.NewManual(start)
-		p := coolingPools(clock, 1, 10, 8, rest)[0]
+		p := coolingPools(clock, 1, 10, 8, cooldown)[0]
 		for range callers {
 			p.RetryAfter("s")
 		}
-		clock.Advance(rest + 2*retry.MaxReturnSpread)
+		clock.Advance(cooldown + 2*retry.MaxReturnSpread)
 		for _, v := range p.Items() {
-			p.StartCooldown(v.Entry, rest)
+			p.StartCooldown(v.Entry, cooldown)
 		}
-		assert.Equal(t, rest, p.RetryAfter("s"))
+		assert.Equal(t, cooldown, p.RetryAfter("s"))
 	})
 }
--- a/internal/pool/fetch.go
+++ b/internal/pool/fetch.go
@@ -6,23 +6,24 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file lets an engine take parts of a prompt from the memory of another one that has
-// read them. Links between engines carry a part in far less time than it is read in, and the engine that is taken from goes on working; so a request needn't queue
-// where its prefix is, and less is read again.
+// This file lets an engine fetch parts of a prompt from the cache of another engine that has read them.
+// The links between engines transfer a part in far less time than it takes to read it, and the source
+// engine continues to work meanwhile. A request therefore does not have to queue where its prefix is
+// cached, and fewer tokens are read again.
 //
-// Weighed: fetching only within a hall. It needs no second figure, but a hall that has just
-// lost its engines has nobody to take from.
+// Alternatives considered: fetching only within a hall. It needs no second factor, but a hall that has
+// just lost its engines would have no source.
 
 const (
-	// fetchMs is what a fetch takes besides its tokens: a round trip and the set-up.
+	// fetchMs is the fixed part of a fetch: a round trip and the set-up.
 	fetchMs = 6.0
-	// fetchFar is how much longer a fetch between halls takes.
+	// farFetchFactor is how many times as long a transfer between halls takes.
 	farFetchFactor = 2.0
 )
 
-// sources notes for each candidate where it could take more of the prompt from: the one that
-// has most of it cached, of its own hall if that has one which has as much. rate is in tokens
-// a millisecond.
+// setFetchSources sets for each candidate the upstream from which it could fetch more of the prompt: the
+// one that has most of it cached, and one of the candidate's own hall if that has as much. rate is in
+// tokens a millisecond.
 func setFetchSources(rate float64, members []*member, list []Candidate) {
 	best, near := -1, make(map[string]int)
 	for i := range list {
@@ -50,8 +51,7 @@
 	}
 }
 
-// fetches tells whether taking cached parts from another engine is quicker than reading
-// them again.
+// fetchIsFaster reports whether fetching cached parts from another engine is faster than reading them.
 func (c *Candidate) fetchIsFaster(e capacity.Engine) bool {
 	return c.Fetch > 0 && c.FetchMs < e.Read(c.Fetch)
 }
--- a/internal/pool/fetch_test.go
+++ b/internal/pool/fetch_test.go
@@ -10,20 +10,20 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// shared is a request whose first part others have, too.
+// shared returns a request whose first part is the same for all ids.
 func shared(id string, own uint64) Request {
 	return Request{ID: id, Service: "s", Engine: true, Prompt: 6000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 }
 
-// fetchPools is two halls of two engines that read 30 tokens a millisecond; rate is that of
-// their links.
+// fetchPools returns pools of two halls with two engines each, which read 30 tokens a millisecond; rate is
+// that of their links.
 func fetchPools(rate float64) *Pools {
 	p := fetchPoolsAt(timer.NewManual(start))
 	p.SetSize("s", capacity.Size{Slots: 8, Memory: 1e6, Fetch: rate})
 	return p
 }
 
-// fetchPoolsAt is such pools by a clock.
+// fetchPoolsAt returns such pools with the given clock, without the engines' size.
 func fetchPoolsAt(c *timer.Manual) *Pools {
 	p := twoHalls(c)
 	p.RestoreEngine("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
@@ -47,7 +47,7 @@
 	assert.Equal(t, want, u.Fetch() != "")
 	if want {
 		assert.Equal(t, 5000.0, u.Choice().Fetched)
-		assert.Equal(t, 1000.0, u.prompt, "the rest is read")
+		assert.Equal(t, 1000.0, u.prompt, "the remaining tokens are read")
 	}
 }
 
@@ -62,18 +62,18 @@
 		busy(p, "a1", 4)
 		assertFetches(t, p, false)
 	})
-	t.Run("not where engines give nothing", func(t *testing.T) {
+	t.Run("not where engines do not support it", func(t *testing.T) {
 		p := fetchPools(0)
 		busy(p, "a1", 4)
 		assertFetches(t, p, false)
 	})
-	t.Run("not from one that can't be reached", func(t *testing.T) {
+	t.Run("not from an unreachable one", func(t *testing.T) {
 		p := fetchPools(1000)
 		busy(p, "a1", 4)
 		pickFrom(p, "a1").End(ResultUnreachable)
 		assertFetches(t, p, false)
 	})
-	t.Run("from the own hall, if it has as much", func(t *testing.T) {
+	t.Run("from the candidate's own hall if that has as much cached", func(t *testing.T) {
 		members := []*member{{entry: Entry{Hall: "a", Address: "a1"}}, {entry: Entry{Hall: "b", Address: "b1"}}, {entry: Entry{Hall: "b", Address: "b2"}}}
 		list := []Candidate{{Cached: 5000}, {Cached: 5000}, {}}
 		setFetchSources(1000, members, list)
--- a/internal/pool/held.go
+++ b/internal/pool/held.go
@@ -9,19 +9,20 @@
 	"spurhall.example/spurhall/internal/call"
 )
 
-// This file takes in what engines say themselves that they have cached. Nodes know where a
-// prompt's prefix was read from the requests they sent, and a loss of all nodes takes that
-// with it while the engines keep their caches: with callers back all at once, nearly every
-// prompt is read anew, and queues build up at each engine within a second.
+// This file records which prompt parts engines themselves report as cached. Nodes otherwise know where a
+// prefix is cached only from the requests that they sent. If all nodes restart, that knowledge is lost
+// while the engines keep their caches: callers then return all at once, nearly every prompt is read again,
+// and a queue builds up at each engine within a second.
 //
-// An engine names parts, not prefixes: it keeps a part whatever came before it, and uses it
-// if it keeps all those before it, too.
+// An engine reports parts, not prefixes: it keeps a part whatever preceded it, and uses it if all parts
+// before it are cached, too.
 
-// heldLimit bounds the parts of one engine that are taken in, the longest ones: the last
-// part of each prompt is listed, too, and hardly any is asked for again.
+// maxCachedParts bounds the number of parts recorded per engine. The longest are taken: the list also
+// contains the last part of each prompt, which is hardly ever requested again.
 const maxCachedParts = 64
 
-// ApplyCachedParts takes in the prompt parts that an engine has cached, and passes them on in reports.
+// ApplyCachedParts records the prompt parts that an engine has cached, and includes them in this node's
+// reports.
 func (p *Pools) ApplyCachedParts(upstream string, parts []call.Part) {
 	parts = slices.Clone(parts)
 	slices.SortFunc(parts, func(a, b call.Part) int { return cmp.Compare(b.Tokens, a.Tokens) })
@@ -37,7 +38,7 @@
 	}
 }
 
-// heldKey is a part by itself as a key beside those of prefixes.
+// partKey returns the key of a part by itself, distinct from the hashes of prefixes.
 func partKey(part uint64) uint64 {
 	return xxhash.Sum64(append([]byte("held"), appendHash(nil, part)...))
 }
--- a/internal/pool/learn.go
+++ b/internal/pool/learn.go
@@ -6,8 +6,8 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file is what the pools know of their services' engines: what this node has learned,
-// joined with what others have.
+// This file holds what is known of the services' engines: what this node has learned, merged with what
+// other nodes report.
 
 // engine returns what is known of a service's engines.
 func (p *Pools) engine(now time.Time, name string) capacity.Engine {
@@ -35,8 +35,8 @@
 	return p.engine(p.clock.Now(), service)
 }
 
-// RestoreEngine takes in what processes that are gone have learned of a service's engines. It
-// counts until this node, or one that it hears, has learned anew.
+// RestoreEngine sets what earlier processes learned of a service's engines. It is used until this node, or
+// a node that reports to it, has learned new values.
 func (p *Pools) RestoreEngine(service string, e capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	return r
 }
 
-// Work returns what was sent to the engines of each service since the start.
+// Work returns the work that was sent to the engines of each service since the start of the process.
 func (p *Pools) Work() map[string]capacity.Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/life_test.go
+++ b/internal/pool/life_test.go
@@ -17,83 +17,83 @@
 	return v
 }
 
-// TestAnyOrderOfLives: an upstream comes back under its id, life after life, also when the time
-// of day steps back in between. Whatever words of them come in whatever order and how often,
-// the newest life's newest word is what is held, and a life that was followed by another one
-// never comes back.
+// TestIncarnationsInAnyOrder: an upstream is restarted repeatedly under its id, also while the time of day
+// is set back. In whatever order and however often the writes of its incarnations are applied, the latest
+// write of the latest incarnation must be listed, and an incarnation that was followed by another must
+// never be listed again.
 func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Item
+		var writes []Item
 		revision := int64(0)
-		born := rapid.SliceOfNDistinct(rapid.Int64Range(1, 9), 1, 4, rapid.ID[int64]).Draw(t, "lives")
+		born := rapid.SliceOfNDistinct(rapid.Int64Range(1, 9), 1, 4, rapid.ID[int64]).Draw(t, "start times")
 		leaving := false
 		for _, b := range born {
 			leaving = false
-			for range rapid.IntRange(1, 3).Draw(t, "words") {
+			for range rapid.IntRange(1, 3).Draw(t, "writes") {
 				revision++
 				leaving = leaving || rapid.Bool().Draw(t, "leaving")
-				words = append(words, incarnationAt(b, revision, leaving))
+				writes = append(writes, incarnationAt(b, revision, leaving))
 			}
 		}
-		newest := words[len(words)-1]
+		newest := writes[len(writes)-1]
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "order")))
-		told := append(append([]Item(nil), words...), words...)
-		r.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
+		applied := append(append([]Item(nil), writes...), writes...)
+		r.Shuffle(len(applied), func(i, j int) { applied[i], applied[j] = applied[j], applied[i] })
 		l := NewList()
-		for _, v := range told {
+		for _, v := range applied {
 			l.Put(v)
 		}
 		l.Items(func(v Item) { assert.Equal(t, newest, v) })
 	})
 }
 
-// TestLives is what a new life under an old id is and isn't.
+// TestIncarnations checks which entries count as a new incarnation under an old id.
 func TestIncarnations(t *testing.T) {
-	held := func(l *List) Entry {
+	listed := func(l *List) Entry {
 		var e Entry
 		l.Items(func(v Item) { e = v.Entry })
 		return e
 	}
-	t.Run("one that comes back after it was leaving is used", func(t *testing.T) {
+	t.Run("one that is restarted after it was leaving is used", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, true))
 		l.Put(incarnationAt(2, 2, false))
-		assert.False(t, held(l).Leaving)
+		assert.False(t, listed(l).Leaving)
 	})
-	t.Run("a write of the life before, done late", func(t *testing.T) {
+	t.Run("a late write of the previous incarnation", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, false))
 		l.Put(incarnationAt(2, 2, false))
 		l.Put(incarnationAt(1, 3, true))
-		assert.Equal(t, int64(2), held(l).Born)
-		assert.False(t, held(l).Leaving)
+		assert.Equal(t, int64(2), listed(l).Born)
+		assert.False(t, listed(l).Leaving)
 	})
-	t.Run("also after its entry went", func(t *testing.T) {
+	t.Run("also after the entry was deleted", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, false))
 		l.Put(incarnationAt(2, 2, false))
 		l.Delete(start, "a")
 		l.Put(incarnationAt(1, 3, false))
-		l.Put(incarnationAt(1, 3, false)) // told twice
+		l.Put(incarnationAt(1, 3, false)) // received twice
 		l.Put(incarnationAt(1, 4, false))
 		assertListed(t, l)
 	})
-	t.Run("one that was taken for the life before goes on writing", func(t *testing.T) {
+	t.Run("one that was taken for the previous incarnation continues to write", func(t *testing.T) {
 		l := NewList()
-		l.Put(incarnationAt(2, 2, false)) // this list saw nothing of life 1, of which a write is done late
+		l.Put(incarnationAt(2, 2, false)) // this list has not seen incarnation 1, of which a write arrives late
 		l.Put(incarnationAt(1, 3, false))
 		for i := range int64(maxLateWrites + 1) {
 			l.Put(incarnationAt(2, 4+i, false))
 		}
-		assert.Equal(t, int64(2), held(l).Born)
+		assert.Equal(t, int64(2), listed(l).Born)
 	})
-	t.Run("an entry that doesn't say its birth is of the life held", func(t *testing.T) {
+	t.Run("an entry without a start time is of the listed incarnation", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, true))
 		l.Put(incarnationAt(0, 2, false))
-		assert.True(t, held(l).Leaving)
+		assert.True(t, listed(l).Leaving)
 	})
-	t.Run("the lives remembered are bounded", func(t *testing.T) {
+	t.Run("the number of remembered incarnations is bounded", func(t *testing.T) {
 		l := NewList()
 		for i := range int64(5 * maxPastIncarnations) {
 			l.Put(incarnationAt(i+1, i+1, false))
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestNewLifeBeginsAnew: nothing of what is known of a life is taken over by the next one under
-// its id.
+// TestNewIncarnationStartsFresh: nothing that is known of an incarnation may carry over to the next one
+// under its id.
 func TestNewIncarnationStartsFresh(t *testing.T) {
 	clock := timer.NewManual(start)
 	p := New(clock.Service(), "self", "h")
@@ -114,7 +114,7 @@
 		v.End(ResultUnreachable)
 	}
 	p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true}}})
-	assert.Nil(t, p.Pick(Request{Service: "s"}), "its address is another's")
+	assert.Nil(t, p.Pick(Request{Service: "s"}), "another upstream uses its address")
 	changes := p.Update(func(l *List) { l.Put(incarnationAt(2, 2, false)) })
 	events := []string{}
 	for _, c := range changes {
@@ -123,13 +123,13 @@
 	assert.Equal(t, []string{"gone", "listed"}, events)
 	n := p.Pick(Request{Service: "s"})
 	if assert.NotNil(t, n) {
-		assert.Equal(t, 0, n.Choice().Running, "what runs at the life before")
+		assert.Equal(t, 0, n.Choice().Running, "requests at the previous incarnation do not count")
 		u.End(ResultFailed)
 		loads, _ := p.Report()
 		assert.Equal(t, []Load{{Upstream: "a", Running: 1}}, withoutWork(loads))
 		n.End(ResultGood)
 	}
-	t.Run("a word of the life before is none of it", func(t *testing.T) {
+	t.Run("a report on the previous incarnation does not apply to it", func(t *testing.T) {
 		p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true, Age: time.Millisecond}}})
 		assert.NotNil(t, p.Pick(Request{Service: "s"}))
 	})
@@ -142,12 +142,12 @@
 	return l
 }
 
-// TestBirthThatComesWithTheNextLife: an upstream's entry says no birth. A later one does, and so does that
-// of the next life; a node hears of both at once.
+// TestStartTimeArrivesWithNextIncarnation: an upstream's entry has no start time; a later one has, and so
+// has that of the next incarnation, and a node applies both at once.
 //
-// What was seen, once, beside load: an upstream was never used again that another one had answered for.
-// Cause: what a node knows of an upstream is dropped when the entry that it knows and the list's are
-// known to be of two lives, and one without a birth isn't known to be.
+// It guards against an upstream that is never used again after another one responded at its address: what
+// a node knows of an upstream was dropped only if the entry known to the node and the listed one differed
+// in incarnation, which can't be seen if the known one has no start time.
 func TestStartTimeArrivesWithNextIncarnation(t *testing.T) {
 	p := New(timer.NewManual(start).Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(incarnationAt(0, 1, false)) })
--- a/internal/pool/limit_test.go
+++ b/internal/pool/limit_test.go
@@ -11,7 +11,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// limited is pools of one node with two upstreams, of which a names one request a second, and has nothing saved.
+// limited returns the pools of one node with two upstreams, of which a states a limit of one request a
+// second and this node's share has no tokens saved.
 func limited(t *testing.T) (*Pools, *timer.Manual, map[string]Entry) {
 	t.Helper()
 	clock := timer.NewManual(start)
@@ -24,15 +25,15 @@
 	}
 	clock.Advance(versionGrace)
 	assert.True(t, p.ObserveLimit(entries["a"], call.Limit{Word: call.LimitNamed, Rate: 1}, start))
-	assert.False(t, p.AllowQuery(entries["a"]), "its share begins with nothing")
+	assert.False(t, p.AllowQuery(entries["a"]), "its share starts empty")
 	return p, clock, entries
 }
 
-// only is a need that the other upstream can't take.
+// onlyA returns a request that upstream b can't take.
 func onlyA() Request { return Request{ID: "r", Service: "s", Excluded: map[string]bool{"b": true}} }
 
 func TestLimitedUpstreams(t *testing.T) {
-	t.Run("aren't in the choice until there is room", func(t *testing.T) {
+	t.Run("are no candidates until the limit allows a request", func(t *testing.T) {
 		p, clock, _ := limited(t)
 		assert.Nil(t, p.Pick(onlyA()))
 		u := p.Pick(Request{ID: "r", Service: "s"})
@@ -42,7 +43,7 @@
 		require.NotNil(t, p.Pick(onlyA()))
 		assert.Nil(t, p.Pick(onlyA()), "each request counts")
 	})
-	t.Run("what didn't arrive doesn't count", func(t *testing.T) {
+	t.Run("requests that did not arrive do not count", func(t *testing.T) {
 		for _, r := range []Result{ResultUnreachable, ResultMisplaced, ResultRejected, ResultFailed} {
 			p, clock, e := limited(t)
 			clock.Advance(time.Second)
@@ -50,17 +51,17 @@
 			assert.Equal(t, r == ResultUnreachable || r == ResultMisplaced, p.AllowQuery(e["a"]), "result %d", r)
 		}
 	})
-	t.Run("what a relay places counts there, and not at the node", func(t *testing.T) {
+	t.Run("a request placed by a relay counts at the relay, not at the node", func(t *testing.T) {
 		p, clock, _ := limited(t)
 		clock.Advance(time.Second)
 		assert.Equal(t, "a", p.PlaceFor("n", onlyA()))
 		assert.Empty(t, p.PlaceFor("n", onlyA()))
 		u := p.PickAt(onlyA(), "a")
-		require.NotNil(t, u, "though this one has no share")
+		require.NotNil(t, u, "though this node has no share")
 		u.End(ResultUnreachable)
-		assert.Nil(t, p.Pick(onlyA()), "nor is it given back here")
+		assert.Nil(t, p.Pick(onlyA()), "nor is it returned here")
 	})
-	t.Run("questions count, and rest holds for them", func(t *testing.T) {
+	t.Run("queries count, and a cooldown applies to them", func(t *testing.T) {
 		p, clock, e := limited(t)
 		clock.Advance(time.Second)
 		assert.True(t, p.AllowQuery(e["a"]))
@@ -69,7 +70,7 @@
 		p.StartCooldown(e["b"], time.Minute)
 		assert.False(t, p.AllowQuery(e["b"]))
 	})
-	t.Run("an unclear word changes nothing", func(t *testing.T) {
+	t.Run("an unclear limit changes nothing", func(t *testing.T) {
 		p, clock, e := limited(t)
 		clock.Advance(time.Millisecond)
 		assert.False(t, p.ObserveLimit(e["a"], call.Limit{Word: call.LimitUnclear}, clock.Service().Now()))
@@ -77,12 +78,12 @@
 		assert.True(t, p.ObserveLimit(e["a"], call.Limit{Word: call.LimitNone}, clock.Service().Now()))
 		assert.NotNil(t, p.Pick(onlyA()))
 	})
-	t.Run("callers are told when to come, one after the other", func(t *testing.T) {
+	t.Run("callers are given return times one after the other", func(t *testing.T) {
 		p, _, e := limited(t)
 		assert.Zero(t, p.RetryAfter("s"), "there is another upstream")
 		p.ObserveLimit(e["b"], call.Limit{Word: call.LimitNamed, Rate: 1}, start)
 		first, second := p.RetryAfter("s"), p.RetryAfter("s")
 		assert.Equal(t, time.Second, first)
-		assert.Equal(t, 1500*time.Millisecond, second, "two upstreams take two a second")
+		assert.Equal(t, 1500*time.Millisecond, second, "two upstreams accept two requests a second")
 	})
 }
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -1,12 +1,11 @@
-// Package pool keeps the upstreams of the services: who there is, how loaded each is,
-// and which of them takes the next request.
+// Package pool keeps the upstreams of all services: which are listed, how loaded each is, and which of
+// them gets the next request.
 //
-// The list comes from the store and may be out of date in two ways. An upstream that
-// leaves is known within a watch's delay, and gets nothing new from then on. An
-// upstream that the store lost while the store itself was away is another matter: its
-// entry lapsed because it couldn't be renewed, and an upstream that lives writes it
-// again soon after. Dropping it at once would empty every pool after an outage, so an
-// entry that goes missing right after one is kept for a grace time.
+// The list comes from the store and may be out of date in two ways. An upstream that leaves is known after
+// the delay of a watch, and gets no new requests from then on. An entry that the store lost during an
+// outage of the store itself is different: it lapsed because it could not be renewed, and a running
+// upstream writes it again soon after the outage. Dropping it at once would empty every pool after an
+// outage, so an entry that disappears right after one is kept for a grace period.
 package pool
 
 import (
@@ -21,24 +20,24 @@
 
 var errs = errorx.NewNamespace("pool")
 
-// ErrEntry says that an upstream's entry can't be read.
+// ErrEntry is the error of an upstream's entry that can't be read.
 var ErrEntry = errs.NewType("entry").New("the upstream's entry can't be used")
 
-// Entry is what an upstream's own entry says.
+// Entry is what an upstream's entry in the store states.
 type Entry struct {
-	ID            string // an upstream that comes back may have the one that it had
-	Born          int64  // Unix milliseconds of its start, which tell one life from another; 0: unsaid
+	ID            string // a restarted upstream may have the same one
+	Born          int64  // start time in Unix milliseconds, distinguishes incarnations; 0: unknown
 	Service       string
 	Address       string
 	Hall          string
 	Version       string        // of its software
-	Slots         int           // requests that it works on at once
-	Leaving       bool          // takes nothing new
-	Declared      bool          // its entry says so itself
-	StartRevision int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
-	WarmUp        time.Duration // it is slow for so long
+	Slots         int           // maximum number of concurrent requests
+	Leaving       bool          // accepts no new requests
+	Declared      bool          // the entry itself says that it is leaving
+	StartRevision int64         // store revision of the start if Born is 0; 0: the first known incarnation
+	WarmUp        time.Duration // time after the start in which it is slow
 	Reclaimable   bool
-	LeavesIn      time.Duration // 0: unsaid
+	LeavesIn      time.Duration // 0: unknown
 }
 
 // Item is an entry with the store's revision of its last change.
@@ -47,23 +46,22 @@
 	Revision int64
 }
 
-// lapseGrace is how long an entry that went missing in an outage of the store is
-// believed after the store's return. The platform says that entries of living
-// upstreams are back within about two seconds.
+// lapseGrace is how long an entry that disappeared in an outage of the store is kept after the store's
+// return. The platform states that running upstreams write their entries again within about two seconds.
 const lapseGrace = 2200 * time.Millisecond
 
-// List is the upstreams as the store tells them. It isn't safe for concurrent use.
+// List is the list of upstreams as read from the store. It isn't safe for concurrent use.
 type List struct {
 	items      map[string]Item
-	missing    map[string]time.Time         // by id: until when a missing entry is believed
-	unreadable map[string]int64             // by id: revision at which its entry couldn't be read any more
-	past       map[string][]pastIncarnation // by id: lives that others have followed, the newest last
-	dropped    map[string]dropped           // by id: as it was when its entry was last held
-	ended      map[string]bool              // ids of which a life has ended since endedLives was last called
+	missing    map[string]time.Time         // by id: until when a missing entry is kept
+	unreadable map[string]int64             // by id: revision since which its entry can't be read
+	past       map[string][]pastIncarnation // by id: incarnations that were followed by others, the newest last
+	dropped    map[string]dropped           // by id: dropped entries as last listed
+	ended      map[string]bool              // ids of which an incarnation has ended since the last takeEnded
 	revision   int64
-	change     int64     // revision of the newest change taken in
-	now        time.Time // when the list was last looked at
-	trust      time.Time // entries that vanish before this are believed missing
+	change     int64     // revision of the newest change applied
+	now        time.Time // time of the latest update or expiry
+	trust      time.Time // entries that disappear before this time are kept as missing
 }
 
 // NewList returns an empty list.
@@ -71,10 +69,10 @@
 	return &List{items: make(map[string]Item), missing: make(map[string]time.Time), past: make(map[string][]pastIncarnation), unreadable: make(map[string]int64), dropped: make(map[string]dropped), ended: make(map[string]bool)}
 }
 
-// Revision returns the store's revision up to which the list holds.
+// Revision returns the store's revision up to which the list is complete.
 func (l *List) Revision() int64 { return l.revision }
 
-// LastChange returns the store's revision of the newest change that was taken in.
+// LastChange returns the store's revision of the newest change that was applied.
 func (l *List) LastChange() int64 { return l.change }
 
 // Len returns the number of entries, missing ones included.
@@ -89,18 +87,18 @@
 	}
 }
 
-// StoreReturned says that the store answers again after an outage.
+// StoreReturned records that the store responds again after an outage.
 func (l *List) StoreReturned(now time.Time) { l.now, l.trust = now, now.Add(lapseGrace) }
 
-// Replace takes in a whole list read at a revision. It does nothing if the list held
-// is newer.
+// Replace applies a complete list that was read at a revision. It does nothing if the current list is
+// newer.
 func (l *List) Replace(now time.Time, revision int64, all []Item) {
 	l.now = now
 	if revision < l.revision {
 		return
 	}
 	if l.revision > 0 && era.Of(revision) > era.Of(l.revision) {
-		l.StoreReturned(now) // what the copy lacks is written again by whoever lives
+		l.StoreReturned(now) // running upstreams write again what the copy lacks
 	}
 	seen := make(map[string]bool, len(all))
 	for _, v := range all {
@@ -115,30 +113,30 @@
 	l.revision = max(l.revision, revision)
 }
 
-// Advance says that all changes up to a revision have been taken in.
+// Advance records that all changes up to a revision have been applied.
 func (l *List) Advance(revision int64) { l.revision = max(l.revision, revision) }
 
 const (
-	// livesKept is how many lives of an id are remembered, idsKept of how many ids: a write of a
-	// life before comes some seconds late at most.
+	// maxPastIncarnations is how many past incarnations are remembered per id, and maxIDs for how many
+	// ids. A late write of an earlier incarnation arrives after a few seconds at most.
 	maxPastIncarnations = 4
 	maxIDs              = 1024
-	// lateWrites is how many writes of a life before may be done after the next one's: those
-	// that it had under way when it ended. Who goes on writing lives, and was taken for the
-	// one before by a list that saw the two in another order.
+	// maxLateWrites is how many writes of an earlier incarnation may arrive after the first one of the
+	// next: writes that were in progress when it ended. An incarnation that writes more than these is
+	// running, and was recorded as the earlier one because the list saw the two in the wrong order.
 	maxLateWrites = 2
 )
 
-// pastLife is a life that another one has followed.
+// pastIncarnation is an incarnation that was followed by another one.
 type pastIncarnation struct {
 	born   int64
 	newest int64 // revision of its newest write
-	late   int   // writes after it was followed
+	late   int   // number of writes since the next incarnation's first
 }
 
-// Put takes in one entry, unless a newer one is held. Of two lives the one that was written
-// later is the newer one: births are by the time of day, which may step back. A life that was
-// followed by another is over, though a write of its own may be done late.
+// Put applies one entry, unless a newer one is listed. Of two incarnations, the one that was written later
+// is the newer: start times are by the time of day, which may be set back. An incarnation that was
+// followed by another has ended, though one of its writes may arrive late.
 func (l *List) Put(v Item) {
 	l.change = max(l.change, v.Revision)
 	e := &v.Entry
@@ -152,7 +150,7 @@
 		l.recordPast(old)
 		v.setStart(old)
 	case ok:
-		// Leaving is for good in one life, whatever an entry from before may say.
+		// Leaving is final within an incarnation, even if a later write of its entry says otherwise.
 		v.inheritFrom(old)
 	default:
 		l.reappear(&v)
@@ -162,7 +160,7 @@
 	delete(l.missing, e.ID)
 }
 
-// late tells whether a write is one of a life that is over, done late.
+// isLate reports whether a write is a late one of an incarnation that has ended.
 func (l *List) isLate(v Item) bool {
 	list := l.past[v.Entry.ID]
 	i := slices.IndexFunc(list, func(p pastIncarnation) bool { return p.born == v.Entry.Born })
@@ -181,7 +179,7 @@
 	return false
 }
 
-// follow notes that a life is over.
+// recordPast records that an incarnation has ended.
 func (l *List) recordPast(old Item) {
 	id := old.Entry.ID
 	l.ended[id] = true
@@ -192,23 +190,23 @@
 	l.past[id] = append(p[max(0, len(p)-maxPastIncarnations+1):], pastIncarnation{born: old.Entry.Born, newest: old.Revision})
 }
 
-// endedLives returns the ids of which a life has ended since the last call. Who keeps something of a
-// life can't tell by the entry that it knows: that one may have had no birth, and a birth and the next
-// life's may have come between two looks.
+// takeEnded returns the ids of which an incarnation has ended since the last call. The entries alone do
+// not show it to a caller that keeps state per incarnation: the entry it knows may have no start time, and
+// both its start time and the next incarnation's may have arrived since the caller last looked.
 func (l *List) takeEnded() map[string]bool {
 	m := l.ended
 	l.ended = make(map[string]bool)
 	return m
 }
 
-// Remove takes in that an entry went at a revision.
+// Remove applies the deletion of an entry at a revision.
 func (l *List) Remove(now time.Time, revision int64, id string) {
 	l.change = max(l.change, revision)
 	l.Delete(now, id)
 }
 
-// MarkUnreadable takes in that an entry can't be read from a revision on: whoever wrote it, its key names
-// no upstream until a sound one stands there. What was known of it isn't forgotten.
+// MarkUnreadable records that an entry can't be read from a revision on: whoever wrote it, its key lists
+// no upstream until a valid entry is written. What was known of the upstream is kept.
 func (l *List) MarkUnreadable(revision int64, id string) {
 	l.change = max(l.change, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
@@ -216,7 +214,7 @@
 	}
 }
 
-// Delete takes in that an entry is gone.
+// Delete applies the deletion of an entry.
 func (l *List) Delete(now time.Time, id string) {
 	l.now = now
 	if _, ok := l.items[id]; !ok {
@@ -240,13 +238,13 @@
 	delete(l.unreadable, id)
 }
 
-// Missing is an entry that went missing and is still believed, and until when.
+// Missing is an entry that disappeared and is kept until the given time.
 type Missing struct {
 	Upstream string
 	Until    time.Time
 }
 
-// Missing returns the entries that are believed though the store doesn't have them, by id.
+// Missing returns the entries that are kept though the store doesn't have them, by id.
 func (l *List) Missing() []Missing {
 	r := make([]Missing, 0, len(l.missing))
 	for id, until := range l.missing {
@@ -256,7 +254,7 @@
 	return r
 }
 
-// Expire drops the entries that stayed missing, and returns their ids.
+// Expire drops the entries that were not written again in time, and returns their ids.
 func (l *List) Expire(now time.Time) []string {
 	l.now = now
 	var gone []string
--- a/internal/pool/list_test.go
+++ b/internal/pool/list_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestList(t *testing.T) {
-	t.Run("a calm deletion holds at once", func(t *testing.T) {
+	t.Run("a deletion without an outage takes effect at once", func(t *testing.T) {
 		l := NewList()
 		l.Replace(start, 5, []Item{item("a", 3), item("b", 4)})
 		l.Delete(start, "a")
@@ -33,7 +33,7 @@
 		l.Replace(start, 4, []Item{item("b", 2)})
 		assertListed(t, l, "a")
 	})
-	t.Run("leaving is for good", func(t *testing.T) {
+	t.Run("leaving is final", func(t *testing.T) {
 		l := NewList()
 		v := item("a", 3)
 		v.Entry.Leaving = true
@@ -51,7 +51,7 @@
 		l.Replace(start, 9, []Item{item("b", 4)})
 		return l
 	}
-	t.Run("are believed for the grace time", func(t *testing.T) {
+	t.Run("are kept for the grace period", func(t *testing.T) {
 		l := lapsed()
 		assert.Empty(t, l.Expire(start.Add(lapseGrace-1)))
 		assertListed(t, l, "a", "b")
@@ -61,13 +61,13 @@
 		assert.Equal(t, []string{"a"}, l.Expire(start.Add(lapseGrace)))
 		assertListed(t, l, "b")
 	})
-	t.Run("stay when they come back", func(t *testing.T) {
+	t.Run("stay if they are written again", func(t *testing.T) {
 		l := lapsed()
 		l.Put(item("a", 10))
 		assert.Empty(t, l.Expire(start.Add(time.Hour)))
 		assertListed(t, l, "a", "b")
 	})
-	t.Run("a deletion after the grace time holds at once", func(t *testing.T) {
+	t.Run("a deletion after the grace period takes effect at once", func(t *testing.T) {
 		l := lapsed()
 		l.Delete(start.Add(lapseGrace), "b")
 		assertListed(t, l, "a")
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -6,35 +6,40 @@
 	"spurhall.example/spurhall/internal/era"
 )
 
-// This file tells one life of an upstream from another under the same id.
+// This file distinguishes incarnations of an upstream that have the same id.
 //
-// Entries name the upstream's birth, as a rule, and two births are two lives. Where none is named, a process
-// that is restarted in place looks like the one before, and what that one said for good would hold for it,
-// too: a pool of such processes empties with each restart. So other evidence ends a life that names no birth:
+// Entries usually state the upstream's start time, and two start times mean two incarnations. Without a
+// start time, a process that is restarted in place looks like the one before, and what that one declared
+// as final, such as leaving, would apply to the new one: a pool of such processes would become empty after
+// all of them restarted. Other evidence therefore ends an incarnation without a start time:
 //
-//   - a birth is named where none was: the software was replaced, and with it the process
-//   - its address is another one
-//   - its entry has declared that it leaves, and says later that it is ready: that is never taken back
-//   - its entry was gone for longer than that of a living upstream may be
+//   - its entry states a start time and did not before: the software was replaced, and with it the
+//     process
+//   - its address has changed
+//   - its entry had declared that it leaves, and now says ready: a declaration is never withdrawn
+//   - its entry was absent for longer than that of a running upstream may be
 //
-// Each is wrong where an upstream does what the platform rules out: goes back from leaving to ready, moves, or is
-// silent for long and leaves without declaring it. It is then asked once more, and its answer says again
-// that it leaves. No evidence is an entry that says ready after an answer said otherwise (they may overtake each other),
-// one that went with the store or came with an older copy of it, and time alone.
+// Each is wrong only if an upstream does what the platform rules out: returns from leaving to ready,
+// changes its address, or is silent for long and leaves without declaring it. It is then sent one more
+// request, and its response says again that it leaves. These are not evidence: an entry that says ready
+// after a response said leaving, as the two may arrive out of order; an entry that was lost with the store
+// or restored from an older copy of it; and time alone.
 //
-// Which life an entry is of is concluded by who reads the store, and told on as a revision (Entry.Begun), since
-// who is told hasn't seen all that led to it.
+// The node that reads the store decides which incarnation an entry belongs to, and forwards it as a
+// revision (Entry.StartRevision), because other nodes have not seen all of the evidence.
 //
-// Weighed: a birth of our own for each such life. Nodes that saw different entries first would name one life
-// differently, and none would believe another's word of it.
+// Alternatives considered: a generated start time for each such incarnation. Nodes that first saw
+// different entries would name one incarnation differently, and would not apply each other's reports on
+// it.
 
-// dropped is an entry that isn't held any more, and since when.
+// dropped is an entry that was dropped from the list, and when.
 type dropped struct {
 	Item
 	at time.Time
 }
 
-// another tells whether two entries of an id, of which neither is known to be the later, are of different lives.
+// isOtherIncarnation reports whether two entries of an id are of different incarnations, where neither is
+// known to be later.
 func (e Entry) isOtherIncarnation(o Entry) bool {
 	if e.Born == 0 && o.Born == 0 {
 		return e.Address != o.Address || e.StartRevision != o.StartRevision
@@ -42,14 +47,15 @@
 	return e.Born != o.Born
 }
 
-// begins tells whether an entry, that was written after another one of its id, is of a later life.
+// startsIncarnation reports whether an entry that was written after another one of its id belongs to a
+// later incarnation.
 func (v *Item) startsIncarnation(old Item) bool {
 	e, o := v.Entry, old.Entry
 	switch {
 	case e.Born != 0:
 		return e.Born != o.Born
 	case o.Born != 0:
-		return false // it is of the life that is held
+		return false // of the listed incarnation
 	case e.StartRevision != 0:
 		return e.StartRevision > o.StartRevision
 	case e.Address != o.Address:
@@ -58,14 +64,14 @@
 	return o.Declared && !e.Declared && v.Revision > old.Revision && era.Of(v.Revision) == era.Of(old.Revision)
 }
 
-// begin makes the entry the first one of a later life than that of old.
+// setStart makes the entry the first one of a later incarnation than old's.
 func (v *Item) setStart(old Item) {
 	if v.Entry.Born == 0 && v.Entry.StartRevision <= old.Entry.StartRevision {
 		v.Entry.StartRevision = v.Revision
 	}
 }
 
-// goOn makes the entry one of old's life: what that one said for good holds on.
+// inheritFrom makes the entry one of old's incarnation: what that one declared as final still applies.
 func (v *Item) inheritFrom(old Item) {
 	e, o := &v.Entry, old.Entry
 	e.Leaving = e.Leaving || o.Leaving
@@ -76,7 +82,7 @@
 	}
 }
 
-// comeBack takes in an entry of an id of which none is held.
+// reappear applies an entry of an id that is not listed.
 func (l *List) reappear(v *Item) {
 	old, ok := l.dropped[v.Entry.ID]
 	switch {
@@ -89,8 +95,8 @@
 	}
 }
 
-// wasAway tells whether an entry was gone for longer than that of a living upstream may be. While the
-// store is away nobody can write; whoever lives is back soon after it.
+// wasAbsent reports whether an entry was absent for longer than that of a running upstream may be. During
+// an outage of the store no upstream can write; running ones write again soon after it.
 func (l *List) wasAbsent(v dropped) bool {
 	return l.now.Sub(v.at) >= lapseGrace && !l.now.Before(l.trust)
 }
--- a/internal/pool/others.go
+++ b/internal/pool/others.go
@@ -7,22 +7,23 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file is what other nodes have at an upstream by now, as far as their reports tell.
+// This file estimates the current load of other nodes at each upstream from their reports.
 //
-// A report is as old as the nodes are many, and what it tells of one upstream holds for about
-// as long as a request lasts: then other requests run, which are anywhere. So with its age a
-// report counts less for the upstreams that it names, and more, in sum, for all of a service
-// alike. Taken at its word, all nodes send to the upstream that was free a second ago.
+// The age of a report grows with the number of nodes, and what it states of an upstream is valid for about
+// the duration of a request: after that, other requests are running, at any upstream. As it ages, a report
+// therefore counts less for the upstreams it names, and by the same amount more for all upstreams of the
+// service equally. If reports were taken literally, all nodes would send to the upstream that was free a
+// second ago.
 
-// A relay tells what the nodes behind it have together, some tenths of a second old. Its
-// sums take the place of the reports of the nodes that it tells of.
+// A relay sends the combined load of the nodes behind it, some tenths of a second old. It replaces the
+// reports of the nodes that it covers.
 
-// PeerLoad is what some other nodes together have at upstreams.
+// PeerLoad is the combined load of several other nodes.
 type PeerLoad struct {
-	Age   time.Duration // of the figures, on average
+	Age   time.Duration // average age of the figures
 	Loads []Load
-	// Complete says that whatever these nodes have sent since is known: this node places their
-	// requests.
+	// Complete is set if all requests that these nodes have sent since are known, because this node places
+	// their requests.
 	Complete bool
 }
 
@@ -32,24 +33,24 @@
 	complete bool
 }
 
-// sharesKeep is how long shares count in the place of the reports of the nodes that they
-// tell of: some rounds of a relay, so that one that is lost can be replaced by another.
+// peerLoadTTL is how long a relay's peer loads replace the reports of the nodes they cover: a few rounds
+// of the relay, so that another relay can take over from one that is lost.
 const peerLoadTTL = 1500 * time.Millisecond
 
-// ApplyPeerLoads takes in what other nodes have, as a relay tells it, which nodes these are, and
+// ApplyPeerLoads applies the load of other nodes as a relay sent it, the set of nodes that it covers, and
 // where prompt prefixes were read.
-func (p *Pools) ApplyPeerLoads(shares []PeerLoad, covered map[string]bool, placed []Placement) {
+func (p *Pools) ApplyPeerLoads(loads []PeerLoad, covered map[string]bool, placed []Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	p.peerLoads, p.covered, p.peerLoadsAt = p.peerLoads[:0], covered, now
-	for _, s := range shares {
+	for _, s := range loads {
 		p.peerLoads = append(p.peerLoads, receivedLoad{at: now.Add(-s.Age), loads: s.Loads, complete: s.Complete})
 	}
 	p.applyPlacements(now, placed)
 }
 
-// currentShares returns the shares as long as they count.
+// currentPeerLoads returns the peer loads if they are recent enough to count.
 func (p *Pools) currentPeerLoads(now time.Time) []receivedLoad {
 	if now.Sub(p.peerLoadsAt) > peerLoadTTL {
 		return nil
@@ -57,46 +58,46 @@
 	return p.peerLoads
 }
 
-// covers tells whether the shares count for a node.
+// covers reports whether the current peer loads include a node.
 func (p *Pools) covers(now time.Time, node string) bool {
 	return p.covered[node] && now.Sub(p.peerLoadsAt) <= peerLoadTTL
 }
 
-// othersLoad is what other nodes have at one upstream.
+// loadSum is the load of other nodes at one upstream.
 type loadSum struct {
 	running  float64 // requests
-	queued   float64 // prompt tokens without a first token
+	queued   float64 // prompt tokens waiting for their first token
 	reserved float64 // tokens of memory
 }
 
-func (v *loadSum) add(w, running, queued, held float64) {
+func (v *loadSum) add(w, running, queued, reserved float64) {
 	v.running += w * running
 	v.queued += w * queued
-	v.reserved += w * held
+	v.reserved += w * reserved
 }
 
-// gatherOthers sets what other nodes have at each upstream of a service, and returns what
-// they have sent to one since their last word, in milliseconds of its time.
+// sumPeerLoad sets the load of other nodes at each upstream of a service. It returns the work that they
+// have sent to one upstream on average since their reports, in milliseconds.
 func (p *Pools) sumPeerLoad(now time.Time, name string, e capacity.Engine) float64 {
 	members := p.services[name]
 	for _, m := range members {
 		m.peers = loadSum{}
 	}
-	lasts := p.service(name).durationMs
+	durationMs := p.service(name).durationMs
 	var anywhere loadSum
-	runs, aged := 0.0, 0.0
+	total, totalAge := 0.0, 0.0
 	add := func(age time.Duration, whole bool, l Load) {
 		m := p.members[l.Upstream]
 		if m == nil || m.entry.Service != name {
 			return
 		}
-		runs += float64(l.Running)
+		total += float64(l.Running)
 		if !whole {
-			aged += float64(l.Running) * float64(age) / float64(time.Millisecond)
+			totalAge += float64(l.Running) * float64(age) / float64(time.Millisecond)
 		}
-		holds := math.Exp(-float64(age) / float64(time.Millisecond) / lasts)
-		m.peers.add(holds, float64(l.Running), remainingQueue(e, l.Queued, age), l.Reserved)
-		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Reserved)
+		weight := math.Exp(-float64(age) / float64(time.Millisecond) / durationMs)
+		m.peers.add(weight, float64(l.Running), remainingQueue(e, l.Queued, age), l.Reserved)
+		anywhere.add(1-weight, float64(l.Running), l.Queued, l.Reserved)
 	}
 	for node, v := range p.reports {
 		if age := now.Sub(v.at); age <= peerReportTTL && !p.covers(now, node) {
@@ -116,8 +117,8 @@
 	for _, m := range members {
 		m.peers.add(1/float64(len(members)), anywhere.running, anywhere.queued, anywhere.reserved)
 	}
-	if runs == 0 {
+	if total == 0 {
 		return 0
 	}
-	return p.unreported(name, runs, aged/runs)
+	return p.unreported(name, total, totalAge/total)
 }
--- a/internal/pool/others_test.go
+++ b/internal/pool/others_test.go
@@ -10,7 +10,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// othersAt is what a report of eight requests at a1 tells of a1 and of b1 after a while.
+// peerLoadAt returns the load at a1 and at b1 that results from a report of eight requests at a1 after the
+// given time.
 func peerLoadAt(age time.Duration) (there, elsewhere loadSum) {
 	c := timer.NewManual(start)
 	p := twoHalls(c)
@@ -28,52 +29,53 @@
 		assert.Equal(t, loadSum{8, 3000, 8000}, there)
 		assert.Zero(t, elsewhere)
 	})
-	t.Run("an older one more and more for all alike", func(t *testing.T) {
-		there, elsewhere := peerLoadAt(time.Second) // as long as a request lasts
+	t.Run("an older one counts increasingly for all upstreams equally", func(t *testing.T) {
+		there, elsewhere := peerLoadAt(time.Second) // the duration of a request
 		assert.InDelta(t, 8/2.72+8*0.632/4, there.running, 0.01)
 		assert.InDelta(t, 8*0.632/4, elsewhere.running, 0.01)
-		assert.InDelta(t, 8.0, there.running+3*elsewhere.running, 0.01, "in sum, all of it")
+		assert.InDelta(t, 8.0, there.running+3*elsewhere.running, 0.01, "the sum is unchanged")
 	})
-	t.Run("an old one for nothing", func(t *testing.T) {
+	t.Run("an expired one does not count", func(t *testing.T) {
 		there, elsewhere := peerLoadAt(peerReportTTL + 1)
 		assert.Zero(t, there)
 		assert.Zero(t, elsewhere)
 	})
 }
 
-// TestPatience: while one upstream is slow it is given up early, while all are it isn't.
+// TestWaitLimit: while one upstream is slow, requests at it are abandoned early; while all upstreams are
+// slow, they are not.
 func TestWaitLimit(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
 	p := fetchPoolsAt(c)
-	answer := func(after time.Duration) {
+	respond := func(after time.Duration) {
 		u := p.Pick(shared("r", 1))
 		c.Advance(after)
 		u.Started()
 		u.End(ResultGood)
 	}
-	patience := func() time.Duration {
+	waitLimit := func() time.Duration {
 		u := p.Pick(shared("x", 2))
 		defer u.End(ResultInconclusive)
 		return u.WaitLimit()
 	}
 	for i := 0; i < 20; i++ {
-		answer(100 * time.Millisecond)
+		respond(100 * time.Millisecond)
 	}
-	usual := patience()
+	usual := waitLimit()
 	assert.Less(t, usual, time.Second)
 	for i := 0; i < 20; i++ {
-		answer(time.Second)
+		respond(time.Second)
 	}
-	assert.Greater(t, patience(), usual+time.Second, "all lag: another one wouldn't be quicker")
+	assert.Greater(t, waitLimit(), usual+time.Second, "all lag: another upstream would not be faster")
 	for i := 0; i < 40; i++ {
-		answer(100 * time.Millisecond)
+		respond(100 * time.Millisecond)
 	}
-	assert.Less(t, patience(), usual+time.Second)
-	t.Run("what was given up counts as a lag", func(t *testing.T) {
-		before := patience()
+	assert.Less(t, waitLimit(), usual+time.Second)
+	t.Run("an abandoned request counts as a lag", func(t *testing.T) {
+		before := waitLimit()
 		u := p.Pick(shared("y", 3))
 		u.TimedOut(2 * time.Second)
 		u.End(ResultFailed)
-		assert.Greater(t, patience(), before)
+		assert.Greater(t, waitLimit(), before)
 	})
 }
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// This file is how slow an upstream is believed to be, compared with the others of its service.
+// This file estimates how slow an upstream is compared with the others of its service.
 //
-// An answer's time is a part of what was expected, and that part is compared with what the service's
-// answers lately had: what is expected may be wrong for all of them. Only an upstream's own answers
-// tell of it, and they tell less the longer ago they were: one that isn't used for its slowness would
+// A response time is divided by the expected one, and the ratio compared with the ratios of the service's
+// recent responses, since the expectation may be off for all upstreams. Only an upstream's own responses
+// count, and they count less as they age: an upstream that is avoided for its slowness could otherwise
 // never show that it has become faster.
 //
-// Weighed: a mean over the pool that is held at 1. Each answer that is faster than expected then makes
-// all others slower of whom nothing was heard, and on a quiet service one upstream gets everything.
+// Alternatives considered: normalizing the pool's mean to 1. Each response that is faster than expected
+// would then make every upstream without a recent response look slower, and on a quiet service one
+// upstream would get all requests.
 
 const (
-	paceGain = 0.1 // weight of the newest answer
-	// paceHalf is the time in which half of what was believed is forgotten. One that is four times as slow
-	// as the others is tried again after some five seconds where they are idle, at the price of a few answers.
+	paceGain = 0.1 // weight of the newest response
+	// paceHalfLife is the time after which half of an estimate is forgotten. An upstream that is four
+	// times as slow as the others is used again after about five seconds if the others are idle, at the
+	// cost of a few slow responses.
 	paceHalfLife = 2 * time.Second
-	// slowest and fastest bound what one answer, or all, can say.
+	// maxSlowness and minSlowness bound the effect of one response and of all of them.
 	maxSlowness = 4.0
 	minSlowness = 0.5
 )
 
-// pace is how slow one upstream is.
+// pace is the slowness of one upstream.
 type pace struct {
-	offset float64 // by how much it differs from 1, the usual, as of then
+	offset float64 // difference from 1, the usual value, at that time
 	at     time.Time
 }
 
-// take takes in an answer that took so many times as long as usual.
+// observe records a response that took x times as long as usual.
 func (p *pace) observe(now time.Time, x float64) {
 	v := p.value(now)
 	p.offset, p.at = v+paceGain*(min(maxSlowness, x)-v)-1, now
@@ -41,10 +43,11 @@
 	return 1 + p.offset*math.Exp2(-float64(now.Sub(p.at))/float64(paceHalfLife))
 }
 
-// slowness is how many times as long as usual its answers take.
+// slowness returns how many times as long as usual the upstream's responses take.
 func (p *pace) slowness(now time.Time) float64 { return max(minSlowness, p.value(now)) }
 
-// relative takes in an answer's time over the one expected, and returns it over what is usual.
+// relativeToUsual records the ratio of a response time to the expected one, and returns it relative to the
+// usual ratio.
 func (s *service) relativeToUsual(x float64) float64 {
 	if s.usualRatio == 0 {
 		s.usualRatio = x
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -7,8 +7,8 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file gathers what a choice needs, and counts the request where it goes. The choice
-// itself is choose.go.
+// This file collects the input of a choice, and counts the request at the chosen upstream. The choice
+// itself is in choose.go.
 
 // chosen is an upstream chosen for a request.
 type chosen struct {
@@ -16,7 +16,7 @@
 	engine capacity.Engine
 	choice Choice
 	reads  float64 // prompt tokens that it has to read
-	fetch  string  // address of the upstream that it takes cached parts from
+	fetch  string  // address of the upstream that it fetches cached parts from
 }
 
 // choose chooses an upstream, if there is one.
@@ -30,7 +30,8 @@
 	return p.chosenAt(now, n, f, i), true
 }
 
-// weigh is what a request takes of the candidate with that index.
+// chosenAt returns the candidate with the given index as the chosen upstream, and what the request takes
+// there.
 func (p *Pools) chosenAt(now time.Time, n Request, f candidateSet, i int) chosen {
 	c := &f.list[i]
 	v := chosen{member: f.members[i], engine: p.engine(now, n.Service), reads: max(0, n.Prompt-c.Cached)}
@@ -42,8 +43,8 @@
 	return v
 }
 
-// Pick chooses an upstream and counts the request there. It returns nil if there is
-// none. The caller ends the use by End.
+// Pick chooses an upstream and counts the request there. It returns nil if there is none. The caller must
+// call End on the result.
 func (p *Pools) Pick(n Request) *Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,8 +56,8 @@
 	return p.use(now, n, v)
 }
 
-// PickAt counts a request at an upstream that a relay has placed it at, or chooses another
-// one if that can't take it.
+// PickAt counts a request at the upstream that a relay has chosen for it, or chooses another one if that
+// one can't take it.
 func (p *Pools) PickAt(n Request, id string) *Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +79,7 @@
 	return p.use(now, n, v)
 }
 
-// use counts a request at the upstream chosen.
+// use counts a request at the chosen upstream.
 func (p *Pools) use(now time.Time, n Request, v chosen) *Use {
 	m, s := v.member, p.service(n.Service)
 	p.outlier(n.Service).Sending(m.entry.ID)
@@ -103,30 +104,31 @@
 	return u
 }
 
-// field is the upstreams that a choice is among.
+// candidateSet is the set of upstreams that a choice considers.
 type candidateSet struct {
 	members      []*member
-	list         []Candidate // of the same order
-	unreportedMs float64     // milliseconds of work that others have sent to one since their last word
-	limited      int         // upstreams that aren't among them since their limit is used up
+	list         []Candidate // in the order of members
+	unreportedMs float64     // milliseconds of unreported work of other nodes at one upstream
+	limited      int         // number of upstreams that are left out because their limit is used up
 }
 
-// candidates returns the upstreams that may take a request. Those that leave or rest, or whose limit is used
-// up, aren't among them, whoever else is left. Those that are ejected are left out unless nobody else is left,
-// and those of a version that isn't to take it yet, or any more, unless these are gone, too.
+// candidates returns the upstreams that may take a request. Upstreams that are leaving or in a cooldown,
+// or whose limit is used up, are never included. Ejected upstreams are included only if no others are
+// left, and upstreams of a version that may not take the request yet, or no longer, only if there are no
+// ejected ones either.
 func (p *Pools) candidates(now time.Time, n Request) candidateSet {
 	o := p.outlier(n.Service)
-	var members, spare, lasts []*member
+	var members, spare, fallbacks []*member
 	limited := 0
 	for _, m := range p.services[n.Service] {
-		takes, last := p.serves(now, m, n)
+		takes, fallback := p.serves(now, m, n)
 		switch {
 		case m.entry.Leaving || m.misplaced || n.Excluded[m.entry.ID] || p.cooldowns.Remaining(now, m.entry.Incarnation()) > 0:
 		case n.ReachableOnly && now.Sub(m.failedAt) < unreachableTTL:
 		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Incarnation(), n.Engine) > 0:
 			limited++
-		case last:
-			lasts = append(lasts, m)
+		case fallback:
+			fallbacks = append(fallbacks, m)
 		case !takes:
 		case o.Usable(now.Sub(p.start), m.entry.ID):
 			members = append(members, m)
@@ -138,20 +140,20 @@
 		members = spare
 	}
 	if len(members) == 0 {
-		members = lasts
+		members = fallbacks
 	}
 	chain := PrefixHashes(n.Parts)
-	unseen := p.sumPeerLoad(now, n.Service, p.engine(now, n.Service))
-	cut := p.partitionedHalls(now)
+	unreported := p.sumPeerLoad(now, n.Service, p.engine(now, n.Service))
+	partitioned := p.partitionedHalls(now)
 	list := make([]Candidate, len(members))
 	for i, m := range members {
 		list[i] = p.candidate(now, m, n, chain)
-		list[i].Unreachable = cut[m.entry.Hall] || now.Sub(m.unreachableAt) < unreachableTTL
+		list[i].Unreachable = partitioned[m.entry.Hall] || now.Sub(m.unreachableAt) < unreachableTTL
 	}
 	if rate := p.service(n.Service).size.Fetch; rate > 0 {
 		setFetchSources(rate, members, list)
 	}
-	return candidateSet{members: members, list: list, unreportedMs: unseen, limited: limited}
+	return candidateSet{members: members, list: list, unreportedMs: unreported, limited: limited}
 }
 
 func (p *Pools) candidate(now time.Time, m *member, n Request, chain []uint64) Candidate {
@@ -170,7 +172,7 @@
 	return c
 }
 
-// keeps tells whether a prefix is taken to be cached still.
+// caches reports whether a prefix is believed to be cached still.
 func (m *member) caches(now time.Time, prefix uint64) bool {
 	t, ok := m.prefixes[prefix]
 	return ok && now.Sub(t) <= prefixTTL
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// This file places requests for other nodes. In a large fleet a node asks its relay where to
-// send a prompt: the relay places the prompts of all its nodes one after the other, and
-// knows of each at once. Nodes that choose by themselves know of each other's choices some
+// This file chooses upstreams on behalf of other nodes. In a large fleet a node asks its relay where to
+// send a prompt. The relay places the prompts of all its nodes one after the other and takes each
+// placement into account at once, while nodes that choose by themselves learn of each other's choices some
 // tenths of a second late.
 //
-// The load that this answers is that of unseen.go (TestRelaysPlace plays it).
+// This addresses the same load as unreported.go (TestRelaysPlace simulates it).
 //
-// Weighed: one node that places for the whole fleet. A hall that is cut off has to go on.
+// Alternatives considered: one node that places the requests of the whole fleet. A hall that is
+// partitioned off has to continue without it.
 
-// pending is a request that was placed for another node, until the node's own reports tell
-// of it.
+// pending is a request that was placed for another node and is not yet contained in that node's reports.
 type pending struct {
 	node string
 	at   time.Time
 	load Load
 }
 
-// PlaceFor chooses an upstream for a request of another node, and counts it there. It returns
-// the upstream's id, or nothing if there is none.
+// PlaceFor chooses an upstream for a request of another node, and counts it there. It returns the
+// upstream's id, or an empty string if there is none.
 func (p *Pools) PlaceFor(node string, n Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,8 @@
 	return l.Upstream
 }
 
-// Pending returns what was placed for others and isn't told of by them yet.
+// Pending returns the requests that were placed for other nodes and are not yet contained in their
+// reports.
 func (p *Pools) Pending() []Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,13 +48,14 @@
 	return list
 }
 
-// DropReported drops the requests that were placed for others and that the shares tell of by now.
-func (p *Pools) DropReported(told func(node string, at time.Time) bool) {
+// DropReported drops the placed requests that the nodes' reports contain by now. reported returns whether a
+// node's reports cover its requests of a given time.
+func (p *Pools) DropReported(reported func(node string, at time.Time) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	left := p.pending[:0]
 	for _, v := range p.pending {
-		if !told(v.node, v.at) && p.clock.Now().Sub(v.at) <= peerReportTTL {
+		if !reported(v.node, v.at) && p.clock.Now().Sub(v.at) <= peerReportTTL {
 			left = append(left, v)
 		}
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,59 +12,61 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// The results.
+// Results of a request at an upstream.
 const (
 	ResultGood         Result = iota
-	ResultFailed              // no whole answer, or an answer that says it failed
-	ResultRejected            // the upstream didn't run it
-	ResultUnreachable         // no connection could be made
-	ResultMisplaced           // another upstream has its address
-	ResultInconclusive        // it ended for reasons of the caller
+	ResultFailed              // no complete response, or a response that states a failure
+	ResultRejected            // the upstream did not execute the request
+	ResultUnreachable         // no connection could be established
+	ResultMisplaced           // another upstream uses its address
+	ResultInconclusive        // it ended for reasons on the caller's side
 )
 
-// Load is what one node has at one upstream.
+// Load is the load of one node at one upstream.
 type Load struct {
 	Upstream string
 	Running  int
-	Queued   float64 // prompt tokens without a first token
+	Queued   float64 // prompt tokens waiting for their first token
 	Reserved float64 // tokens of memory
 }
 
-// Placement says that an upstream read a prompt prefix.
+// Placement states that an upstream has read a prompt prefix.
 type Placement struct {
 	Prefix   uint64
 	Upstream string
 }
 
 const (
-	// prefixKeeps is how long a prefix is taken to stay cached after its last use. Under
-	// load, an engine takes in its whole memory anew in about so long.
+	// prefixTTL is how long a prefix is believed to stay cached after its last use. Under load, an engine
+	// replaces its whole memory in about that time.
 	prefixTTL = 30 * time.Second
-	// peerKeeps is the age at which another node's load says nothing any more.
+	// peerReportTTL is the age at which another node's report no longer counts.
 	peerReportTTL = 3 * time.Second
-	// refusedKeeps is how long "full" is believed: some requests' work.
+	// fullTTL is how long an upstream that rejected a request as full is believed to be full: the duration
+	// of a few requests.
 	fullTTL = 150 * time.Millisecond
-	// unreachableKeeps is how long "can't be reached" is believed: a cut lasts seconds, and
-	// each try against one costs the time-out of a connection.
+	// unreachableTTL is how long an upstream is believed to be unreachable: a partition lasts seconds, and
+	// each attempt during one costs a connection time-out.
 	unreachableTTL = time.Second
-	// cutAfter is the number of upstreams of a hall that can't be reached after which the
-	// hall is taken for cut off: one may just have died.
+	// partitionAfter is the number of unreachable upstreams of a hall after which the hall is considered
+	// partitioned off: a single one may just have crashed.
 	partitionAfter = 2
-	// outlierShare bounds the share of a pool that is ejected.
+	// outlierShare is the maximum share of a pool that is ejected.
 	outlierShare    = 0.34
 	failureGain     = 0.12 // weight of the newest result in the share of failures
-	lagGain         = 0.2  // weight of the newest first event's lag
-	responseGain    = 0.05 // weight of the newest answer in the time of a plain service's
-	responsePriorMs = 30.0 // milliseconds, until a plain service has answered
-	durationPriorMs = 1000 // milliseconds, until a request has ended
-	// mergeEvery is how often what the nodes have learned is joined: reports come so often.
+	lagGain         = 0.2  // weight of the newest first event's delay
+	responseGain    = 0.05 // weight of the newest response in a service's averages
+	responsePriorMs = 30.0 // assumed until a plain service has responded
+	durationPriorMs = 1000 // milliseconds, assumed until a request has ended
+	// mergeEvery is how often the values that the nodes have learned are merged, which is as often as
+	// reports arrive.
 	mergeEvery    = 250 * time.Millisecond
-	maxPlacements = 1024 // placements kept for reports
-	// forgetEvery is how often prefixes are dropped that are no longer believed to be cached:
-	// a choice looks at their age itself, and to look through all with each report takes a part
-	// of a small VM's core (BenchmarkReport).
+	maxPlacements = 1024 // bounds the placements kept for reports
+	// pruneInterval is how often prefixes that are no longer believed to be cached are dropped. A choice
+	// checks their age itself, and scanning all of them with each report takes a noticeable share of a
+	// small VM's core (BenchmarkReport).
 	pruneInterval = 5 * time.Second
-	// placedFor is how long a placement is reported: some rounds, since a report may be
+	// placementTTL is how long a placement is included in reports: a few rounds, since a report may be
 	// lost.
 	placementTTL = time.Second
 )
@@ -74,18 +76,18 @@
 	entry         Entry
 	coldUntil     time.Time
 	load          Load
-	peers         loadSum // as of the last choice
+	peers         loadSum // load of other nodes as of the last choice
 	failures      float64
 	pace          pace
 	fullAt        time.Time
-	unreachableAt time.Time // when it last couldn't be reached, by this node or several others
-	failedAt      time.Time // the same, by this node
-	lostAt        time.Time // the same, by several nodes
-	lostSince     time.Time // from when on they couldn't
-	respondedAt   time.Time // when it last answered this node
-	misplaced     bool      // another upstream has its address: this life is over
+	unreachableAt time.Time // when it was last unreachable, for this node or several others
+	failedAt      time.Time // when it was last unreachable for this node
+	lostAt        time.Time // when it was last unreachable for several nodes
+	lostSince     time.Time // since when it has been unreachable for several nodes
+	respondedAt   time.Time // when it last responded to this node
+	misplaced     bool      // another upstream uses its address: this incarnation has ended
 	prefixes      map[uint64]time.Time
-	rank          int // among the target's upstreams of a roll-out; notRanked: none of these
+	rank          int // among the upstreams of a roll-out's target; notRanked: not one of them
 }
 
 type peerReport struct {
@@ -94,7 +96,7 @@
 	engines map[string]capacity.Engine
 }
 
-// Pools is the upstreams of all services. It is safe for concurrent use.
+// Pools holds the upstreams of all services. It is safe for concurrent use.
 type Pools struct {
 	mu            sync.Mutex
 	clock         *timer.Service
@@ -106,35 +108,35 @@
 	outliers      map[string]*retry.Outliers
 	reports       map[string]peerReport
 	peerLoads     []receivedLoad
-	covered       map[string]bool // the nodes that the shares tell of
-	peerLoadsAt   time.Time       // when they came
+	covered       map[string]bool // the nodes included in peerLoads
+	peerLoadsAt   time.Time       // when peerLoads were received
 	pending       []pending
 	serviceStats  map[string]*service
 	placements    []timedPlacement
 	prunedAt      time.Time                       // when prefixes were last dropped
-	lastResponse  map[string]time.Time            // when an upstream last answered, by hall
-	partitionedAt map[string]time.Time            // when the hall's other nodes found a hall cut off
+	lastResponse  map[string]time.Time            // when an upstream last responded, by hall
+	partitionedAt map[string]time.Time            // when the other nodes of this hall last found a hall partitioned off
 	splits        map[string]Split                // by service
 	versions      map[string]map[string]time.Time // when each was first seen, by service
 	listRead      bool                            // the list has been read
-	cooldowns     *retry.Cooldowns                // that upstreams have asked of this node
-	limits        *limit.Book                     // that upstreams name for all nodes together
+	cooldowns     *retry.Cooldowns                // that upstreams asked this node for
+	limits        *limit.Book                     // that upstreams state for all nodes together
 }
 
 // service is what is known of one service.
 type service struct {
 	size           capacity.Size
-	work           capacity.Work // sent since the start
-	notExecuted    capacity.Work // of it: that no upstream took, and that isn't made up for yet
+	work           capacity.Work // sent since the start of the process
+	notExecuted    capacity.Work // part of work that no upstream executed and that is not yet offset by later work
 	learner        capacity.Learner
-	engine         capacity.Engine // as all nodes have learned it
+	engine         capacity.Engine // as learned by all nodes
 	mergedAt       time.Time
-	uncachedTokens float64              // prompt tokens of a request that aren't cached
-	responseMs     float64              // milliseconds to an answer's head
-	durationMs     float64              // milliseconds that a request takes, to its end
-	usualRatio     float64              // time to a first event over the one expected, as answers lately had it; 0: none yet
-	lagMs          float64              // milliseconds by which first events lately come later than expected
-	returns        retry.ReturnSchedule // of callers that are turned away while no upstream takes anything
+	uncachedTokens float64              // average number of uncached prompt tokens of a request
+	responseMs     float64              // milliseconds to the response header
+	durationMs     float64              // milliseconds from the start of a request to its end
+	usualRatio     float64              // recent ratio of actual to expected time to a first event; 0: none yet
+	lagMs          float64              // milliseconds by which first events recently came later than expected
+	returns        retry.ReturnSchedule // of callers that are rejected while no upstream accepts requests
 }
 
 type timedPlacement struct {
@@ -142,7 +144,7 @@
 	Placement
 }
 
-// New returns empty pools as a node of that name and hall sees them.
+// New returns empty pools for a node with the given name and hall.
 func New(clock *timer.Service, node, hall string) *Pools {
 	return &Pools{
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
@@ -152,13 +154,13 @@
 	}
 }
 
-// Change is what an update did to one upstream.
+// Change is the effect of an update on one upstream.
 type Change struct {
 	Entry Entry
 	Event string // listed, leaving or gone
 }
 
-// Update lets f change the list, and returns what became different.
+// Update lets f change the list, and returns the resulting changes.
 func (p *Pools) Update(f func(l *List)) []Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +168,7 @@
 	return p.rebuild()
 }
 
-// Revision returns the store's revision up to which the list holds.
+// Revision returns the store's revision up to which the list is complete.
 func (p *Pools) Revision() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +182,8 @@
 	return p.list.LastChange()
 }
 
-// Missing returns the upstreams that are believed though the store doesn't have them, and how many
-// there are in all.
+// Missing returns the upstreams that are kept though the store doesn't have them, and the number of all
+// upstreams.
 func (p *Pools) Missing() ([]Missing, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,7 +224,7 @@
 			p.dropMember(m)
 		}
 	}
-	for _, l := range services { // an order that all plays of a seed have
+	for _, l := range services { // a fixed order, so that simulations are reproducible from their seed
 		slices.SortFunc(l, func(a, b *member) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
 	}
 	p.services, p.listRead = services, len(seen) > 0
@@ -232,8 +234,8 @@
 	return changes
 }
 
-// forgetMember drops what is known of one life of an upstream. What still runs there ends on
-// its own.
+// dropMember drops what is known of one incarnation of an upstream. Requests in progress there end on
+// their own.
 func (p *Pools) dropMember(m *member) {
 	delete(p.members, m.entry.ID)
 	if o := p.outliers[m.entry.Service]; o != nil {
@@ -244,13 +246,14 @@
 	}
 }
 
-// forgetWords drops what a life has asked for that named no birth and is over: the next one may have its name.
+// forgetIncarnation drops the cooldown and the limit of an incarnation without a start time that has
+// ended: the next one may have the same identity.
 func (p *Pools) forgetIncarnation(id string) {
 	p.cooldowns.Forget(retry.Incarnation{ID: id})
 	p.limits.Forget(retry.Incarnation{ID: id})
 }
 
-// SetSize says what an engine of a service has.
+// SetSize sets the capacity of a service's engines.
 func (p *Pools) SetSize(service string, s capacity.Size) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -275,7 +278,7 @@
 	return o
 }
 
-// oldest is the age of the oldest report that still counts.
+// oldest returns the age of the oldest report that still counts.
 func (p *Pools) oldest(now time.Time) time.Duration {
 	d := time.Duration(0)
 	for name, v := range p.reports {
@@ -289,7 +292,7 @@
 	return d
 }
 
-// Items returns the upstreams as the store told them.
+// Items returns the upstreams as read from the store.
 func (p *Pools) Items() []Item {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -298,7 +301,7 @@
 	return r
 }
 
-// Report returns this node's loads, and its newest placements.
+// Report returns this node's loads and its recent placements.
 func (p *Pools) Report() ([]Load, []Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,8 +322,8 @@
 	return loads, placed
 }
 
-// forget drops placements that were reported, and prefixes that are no longer believed
-// to be cached.
+// prune drops placements that were reported long enough, and prefixes that are no longer believed to be
+// cached.
 func (p *Pools) prune() {
 	now := p.clock.Now()
 	old := 0
@@ -341,7 +344,7 @@
 	}
 }
 
-// ApplyReport takes in another node's report.
+// ApplyReport applies another node's report.
 func (p *Pools) ApplyReport(node string, loads []Load, placed []Placement, engines map[string]capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/reach.go
+++ b/internal/pool/reach.go
@@ -7,60 +7,62 @@
 	"time"
 )
 
-// This file is what the nodes of a hall find out together about who can be reached.
+// This file combines what the nodes of a hall find out about the reachability of upstreams.
 //
-// A node of a large fleet sends some requests a second. When another hall is cut off, each node
-// of this one would have to find out by itself, by tries in vain as long as the cut lasts. So
-// nodes tell their relay which upstreams they couldn't reach, and when one of each hall last
-// answered them, and the relay tells all nodes of the hall.
+// A node of a large fleet sends only a few requests a second. In a partition, each node would have to
+// detect it by itself, by failing attempts for as long as the partition lasts. Nodes therefore report to
+// their relay which upstreams they could not reach, and when an upstream of each hall last responded to
+// them, and the relay forwards it to all nodes of the hall.
 //
-// What several nodes of a hall couldn't reach is asked last by all of them; one node's word
-// isn't enough, since the trouble may be its own. A hall is taken for cut off when none of
-// its upstreams has answered anybody for a moment in which several tries failed: where some
-// upstreams of a hall have died, the others go on answering. What one node has reached itself
-// it goes on using, whatever the others say.
+// An upstream that several nodes of a hall could not reach is chosen last by all of them; one node's
+// report is not enough, since the fault may be its own. A hall is considered partitioned off if none of
+// its upstreams has responded to any node for a moment in which several attempts failed: if only some
+// upstreams of a hall have crashed, the others still respond. A node continues to use upstreams that it
+// has reached itself, whatever other nodes report.
 //
-// Weighed: telling it to all halls. Another hall's way there is another one.
+// Alternatives considered: forwarding it to all halls. Other halls are connected by other paths.
 
 const (
-	// agreeing is how many other nodes have to have failed to reach an upstream, and cutTries
-	// how many of a hall's upstreams they have to have failed at for a cut.
+	// minAgreeingNodes is how many other nodes must have failed to reach an upstream for it to be
+	// considered unreachable. minPartitionFailures is how many failed attempts at a hall's upstreams are
+	// needed for a partition.
 	minAgreeingNodes     = 2
 	minPartitionFailures = 3
-	// cutQuiet is how long nobody has heard of a hall that is taken for cut off: some answers'
-	// time, with the delay of a report and a digest.
+	// partitionSilence is how long no upstream of a hall must have responded for a partition: the duration
+	// of a few responses, and the delay of a report and a digest.
 	partitionSilence = 800 * time.Millisecond
-	// lostKeeps is how long an upstream that several nodes couldn't reach is no capacity: its
-	// entry lapses in that time if it is dead, and nobody asks it meanwhile who has others.
+	// lostTTL is how long an upstream that several nodes could not reach counts as lost capacity: the
+	// entry of one that is down lapses in that time, and meanwhile nodes that have others do not send to
+	// it.
 	lostTTL = 5 * time.Second
-	// lostAfter is how long it has to have been so: a hall that is cut off is known to be by
-	// then, since its nodes aren't heard, and what it has isn't ordered a second time.
+	// lostAfter is how long it must have been unreachable before that: a hall that is partitioned off is
+	// detected by then, as its nodes are silent, and replacements for its upstreams are not ordered.
 	lostAfter = 1250 * time.Millisecond
 )
 
-// UnreachableUpstream is an upstream that couldn't be reached.
+// UnreachableUpstream is an upstream that could not be reached.
 type UnreachableUpstream struct {
 	Upstream  string
-	Born      int64         // of its life, as its entry says
-	Nodes     int           // that found so
-	Age       time.Duration // since the newest try
-	Misplaced bool          // another upstream has its address: that is proof
+	Born      int64         // start time of its incarnation, from its entry
+	Nodes     int           // number of nodes that found it unreachable
+	Age       time.Duration // since the latest attempt
+	Misplaced bool          // another upstream uses its address, which proves that it has ended
 }
 
-// Reachability is what one node, or several, have found out lately.
+// Reachability is what one node, or several, have found out recently.
 type Reachability struct {
 	Unreachable  []UnreachableUpstream
-	LastResponse map[string]time.Duration // since an upstream last answered, by hall
+	LastResponse map[string]time.Duration // since an upstream last responded, by hall
 }
 
-// Merge returns what both have found, where o is by so much older than it says.
-func (r Reachability) Merge(o Reachability, older time.Duration) Reachability {
+// Merge returns the findings of both. o was received the given time ago, by which its ages are increased.
+func (r Reachability) Merge(o Reachability, age time.Duration) Reachability {
 	s := Reachability{Unreachable: slices.Clone(r.Unreachable), LastResponse: maps.Clone(r.LastResponse)}
 	if s.LastResponse == nil {
 		s.LastResponse = make(map[string]time.Duration)
 	}
 	for _, v := range o.Unreachable {
-		v.Age += older
+		v.Age += age
 		i := slices.IndexFunc(s.Unreachable, func(x UnreachableUpstream) bool { return x.Upstream == v.Upstream && x.Born == v.Born })
 		if i < 0 {
 			s.Unreachable = append(s.Unreachable, v)
@@ -69,9 +71,9 @@
 		x := &s.Unreachable[i]
 		x.Nodes, x.Age, x.Misplaced = x.Nodes+v.Nodes, min(x.Age, v.Age), x.Misplaced || v.Misplaced
 	}
-	for h, age := range o.LastResponse {
-		if old, ok := s.LastResponse[h]; !ok || age+older < old {
-			s.LastResponse[h] = age + older
+	for h, since := range o.LastResponse {
+		if old, ok := s.LastResponse[h]; !ok || since+age < old {
+			s.LastResponse[h] = since + age
 		}
 	}
 	return s
@@ -97,13 +99,13 @@
 	return r
 }
 
-// ApplyReachability takes in what the other nodes of this hall have found out, and returns the halls
-// that are taken for cut off by it and weren't.
+// ApplyReachability applies what the other nodes of this hall have found out. It returns the halls that
+// are newly considered partitioned off because of it.
 func (p *Pools) ApplyReachability(r Reachability) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	tries := make(map[string]int)
+	failures := make(map[string]int)
 	for _, v := range r.Unreachable {
 		m := p.members[v.Upstream]
 		if m == nil || v.Born != m.entry.Born {
@@ -115,7 +117,7 @@
 			continue // this node has reached it since
 		}
 		if v.Age < partitionSilence {
-			tries[m.entry.Hall] += v.Nodes
+			failures[m.entry.Hall] += v.Nodes
 		}
 		if v.Nodes >= minAgreeingNodes && v.Age < unreachableTTL && at.After(m.unreachableAt) {
 			if now.Sub(m.lostAt) >= lostTTL || !m.respondedAt.Before(m.lostAt) {
@@ -124,22 +126,22 @@
 			m.unreachableAt, m.lostAt = at, at
 		}
 	}
-	var cut []string
-	for h, n := range tries {
-		quiet, known := r.LastResponse[h]
-		if n < minPartitionFailures || known && quiet < partitionSilence || now.Sub(p.lastResponse[h]) < partitionSilence {
+	var partitioned []string
+	for h, n := range failures {
+		silence, known := r.LastResponse[h]
+		if n < minPartitionFailures || known && silence < partitionSilence || now.Sub(p.lastResponse[h]) < partitionSilence {
 			continue
 		}
 		if now.Sub(p.partitionedAt[h]) >= unreachableTTL {
-			cut = append(cut, h)
+			partitioned = append(partitioned, h)
 		}
 		p.partitionedAt[h] = now
 	}
-	return cut
+	return partitioned
 }
 
-// cutHalls returns the halls that are taken for cut off from this node: by its own tries, or
-// by those of several others.
+// partitionedHalls returns the halls that are considered partitioned off from this node, by its own
+// attempts or by those of several other nodes.
 func (p *Pools) partitionedHalls(now time.Time) map[string]bool {
 	failed := make(map[string]int)
 	for _, m := range p.members {
@@ -148,30 +150,30 @@
 			failed[h]++
 		}
 	}
-	cut := make(map[string]bool, len(failed))
+	partitioned := make(map[string]bool, len(failed))
 	for h, n := range failed {
-		cut[h] = n >= partitionAfter
+		partitioned[h] = n >= partitionAfter
 	}
 	for h, t := range p.partitionedAt {
 		if now.Sub(t) < unreachableTTL && t.After(p.lastResponse[h]) {
-			cut[h] = true
+			partitioned[h] = true
 		}
 	}
-	return cut
+	return partitioned
 }
 
-// Lost returns the upstreams that are no capacity, though the store lists them: several nodes
-// couldn't reach them, or another upstream has their address. Those of a hall that several
-// nodes found cut off, and of whose nodes nothing is heard, aren't among them: they go on
-// serving their own hall.
-func (p *Pools) Lost(heard map[string]bool) map[string]bool {
+// Lost returns the upstreams that do not count as capacity though the store lists them: several nodes
+// could not reach them, or another upstream uses their address. Upstreams of a hall that several nodes
+// found partitioned off, and whose nodes are silent, are not included: they continue to serve their own
+// hall. reporting is the set of halls whose nodes send reports.
+func (p *Pools) Lost(reporting map[string]bool) map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	lost := make(map[string]bool)
 	for id, m := range p.members {
-		cut := now.Sub(p.partitionedAt[m.entry.Hall]) < lostTTL && !heard[m.entry.Hall] && m.entry.Hall != p.hall
-		if m.misplaced || !cut && now.Sub(m.lostAt) < lostTTL && now.Sub(m.lostSince) >= lostAfter && m.respondedAt.Before(m.lostAt) {
+		partitioned := now.Sub(p.partitionedAt[m.entry.Hall]) < lostTTL && !reporting[m.entry.Hall] && m.entry.Hall != p.hall
+		if m.misplaced || !partitioned && now.Sub(m.lostAt) < lostTTL && now.Sub(m.lostSince) >= lostAfter && m.respondedAt.Before(m.lostAt) {
 			lost[id] = true
 		}
 	}
--- a/internal/pool/reach_test.go
+++ b/internal/pool/reach_test.go
@@ -9,7 +9,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// cutPools is two upstreams in each of two halls, seen from hall a.
+// twoHalls returns pools of two upstreams in each of two halls, as seen from hall a.
 func twoHalls(c *timer.Manual) *Pools {
 	p := New(c.Service(), "self", "a")
 	p.Update(func(l *List) {
@@ -20,14 +20,14 @@
 	return p
 }
 
-// pickFrom takes the one upstream that isn't excluded.
+// pickFrom picks the given upstream, by excluding all others.
 func pickFrom(p *Pools, id string) *Use {
 	ex := map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true}
 	delete(ex, id)
 	return p.Pick(Request{ID: "x", Service: "s", Excluded: ex})
 }
 
-// assertHall checks in which halls ten requests, ended at once, are sent.
+// assertHall checks whether any of ten requests, each ended at once, is sent to the given hall.
 func assertHall(t *testing.T, p *Pools, avoided string, want bool) {
 	t.Helper()
 	seen := false
@@ -46,18 +46,18 @@
 			pickFrom(p, id).End(ResultUnreachable)
 		}
 	}
-	t.Run("one that can't be reached says nothing of its hall", func(t *testing.T) {
+	t.Run("one unreachable upstream is no partition of its hall", func(t *testing.T) {
 		p := twoHalls(c)
 		fail(p, "a1")
 		assertHall(t, p, "a", true)
 	})
-	t.Run("two do", func(t *testing.T) {
+	t.Run("two are", func(t *testing.T) {
 		p := twoHalls(c)
 		fail(p, "a1", "a2")
 		p.ApplyReport("n", nil, nil, nil)
 		assertHall(t, p, "a", false)
 	})
-	t.Run("until one answers, or for a moment", func(t *testing.T) {
+	t.Run("until one responds, or unreachableTTL has passed", func(t *testing.T) {
 		p := twoHalls(c)
 		fail(p, "b1", "b2")
 		assert.True(t, p.partitionedHalls(c.Service().Now())["b"])
@@ -71,10 +71,10 @@
 	})
 }
 
-// told is what other nodes of the hall have found: so many couldn't reach each upstream, a
-// tenth of a second ago.
-func reported(nodes int, answered map[string]time.Duration, ids ...string) Reachability {
-	r := Reachability{LastResponse: answered}
+// reported returns what other nodes of the hall have found: the given number of them could not reach each
+// of the upstreams a tenth of a second ago.
+func reported(nodes int, lastResponse map[string]time.Duration, ids ...string) Reachability {
+	r := Reachability{LastResponse: lastResponse}
 	for _, id := range ids {
 		r.Unreachable = append(r.Unreachable, UnreachableUpstream{Upstream: id, Nodes: nodes, Age: 100 * time.Millisecond})
 	}
@@ -85,17 +85,17 @@
 	c := timer.NewManual(start)
 	long := func() { c.Advance(lostAfter) }
 	later := func(p *Pools) { c.Advance(partitionSilence + time.Second); p.Report() }
-	t.Run("one node's word isn't enough", func(t *testing.T) {
+	t.Run("one node's report isn't enough", func(t *testing.T) {
 		p := twoHalls(c)
 		p.ApplyReachability(reported(1, nil, "a1"))
 		assertHall(t, p, "a", true)
 		long()
 		assert.Empty(t, p.Lost(nil))
 	})
-	t.Run("several nodes' is", func(t *testing.T) {
+	t.Run("several nodes' reports are", func(t *testing.T) {
 		p := twoHalls(c)
 		p.ApplyReachability(reported(2, nil, "a1"))
-		assert.Empty(t, p.Lost(nil), "it may be a cut")
+		assert.Empty(t, p.Lost(nil), "it may be a partition")
 		for i := 0; i < 10; i++ {
 			u := p.Pick(Request{ID: string(rune('a' + i)), Service: "s"})
 			assert.NotEqual(t, "a1", u.Entry().ID)
@@ -111,17 +111,17 @@
 		long()
 		assert.Empty(t, p.Lost(nil))
 	})
-	t.Run("a hall that has answered nobody is cut off", func(t *testing.T) {
+	t.Run("a hall that has responded to no node is partitioned off", func(t *testing.T) {
 		p := twoHalls(c)
 		later(p)
 		assert.Equal(t, []string{"b"}, p.ApplyReachability(reported(2, nil, "b1", "b2")))
-		assert.Empty(t, p.ApplyReachability(reported(2, nil, "b1", "b2")), "it is told once")
+		assert.Empty(t, p.ApplyReachability(reported(2, nil, "b1", "b2")), "it is returned once")
 		assertHall(t, p, "b", false)
 		long()
 		assert.Empty(t, p.Lost(nil), "its upstreams serve their own hall")
-		assert.Len(t, p.Lost(map[string]bool{"b": true}), 2, "its nodes are heard: it isn't cut off, they are dead")
+		assert.Len(t, p.Lost(map[string]bool{"b": true}), 2, "its nodes send reports: there is no partition, its upstreams are down")
 	})
-	t.Run("one that goes on answering somebody isn't", func(t *testing.T) {
+	t.Run("one that still responds to a node isn't", func(t *testing.T) {
 		p := twoHalls(c)
 		assert.Empty(t, p.ApplyReachability(reported(2, map[string]time.Duration{"b": 50 * time.Millisecond}, "b1", "b2")))
 		assert.False(t, p.partitionedHalls(c.Service().Now())["b"])
@@ -131,7 +131,7 @@
 		pickFrom(p, "b1").Started()
 		assert.Empty(t, p.ApplyReachability(reported(2, nil, "b2", "b2")))
 	})
-	t.Run("lost ones count again when they answer, or after a while", func(t *testing.T) {
+	t.Run("lost ones count again when they respond, or after lostTTL", func(t *testing.T) {
 		p := twoHalls(c)
 		p.ApplyReachability(reported(2, nil, "a1", "a2"))
 		long()
@@ -147,10 +147,10 @@
 		pickFrom(p, "a1").End(ResultMisplaced)
 		q.ApplyReachability(p.Reachability())
 		assert.Equal(t, map[string]bool{"a1": true}, q.Lost(nil))
-		assert.Nil(t, pickFrom(p, "a1"), "nothing goes there any more")
-		assert.Nil(t, pickFrom(q, "a1"), "nor from nodes that were told")
+		assert.Nil(t, pickFrom(p, "a1"), "the node itself sends no more requests there")
+		assert.Nil(t, pickFrom(q, "a1"), "nor do nodes that received its report")
 	})
-	t.Run("a node tells what it has found itself only", func(t *testing.T) {
+	t.Run("a node reports only what it has found itself", func(t *testing.T) {
 		p := twoHalls(c)
 		p.ApplyReachability(reported(3, nil, "a1"))
 		assert.Empty(t, p.Reachability().Unreachable)
--- a/internal/pool/report_test.go
+++ b/internal/pool/report_test.go
@@ -10,7 +10,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// known returns pools that know of so many prefixes at each of some upstreams.
+// poolsWithPrefixes returns pools that know of the given number of prefixes at each of several upstreams.
 func poolsWithPrefixes(c *timer.Manual, upstreams, prefixes int) *Pools {
 	p := New(c.Service(), "self", "a")
 	p.Update(func(l *List) {
@@ -26,7 +26,8 @@
 	return p
 }
 
-// TestForgottenPrefixes: what isn't believed any more doesn't stay in memory.
+// TestExpiredPrefixesAreDropped: prefixes that are no longer believed to be cached must not stay in
+// memory.
 func TestExpiredPrefixesAreDropped(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
 	p := poolsWithPrefixes(c, 3, 5)
@@ -44,9 +45,9 @@
 	assert.Zero(t, count())
 }
 
-// BenchmarkReport makes the report of a node that knows of the 10,000 prefixes that a fleet
-// of 95 places in 30 s; a node makes some 30 a second. 205 us each when each looked for
-// prefixes to forget, 0.5 us since they are looked for once in a while (one run each).
+// BenchmarkReport makes the report of a node that knows of 10,000 prefixes, as a fleet of 95 nodes places
+// in 30 s; a node makes some 30 reports a second. A report took 205 us while each one scanned for expired
+// prefixes, and takes 0.5 us since they are scanned for at an interval (one run each).
 func BenchmarkReport(b *testing.B) {
 	p := poolsWithPrefixes(timer.NewManual(time.Unix(1000, 0)), 53, 190)
 	for i := 0; i < b.N; i++ {
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -9,23 +9,23 @@
 	"spurhall.example/spurhall/internal/retry"
 )
 
-// This file is what upstreams say of themselves in their answers, beside what the store says of
-// them: that they leave, that they want rest, and how much they take.
+// This file handles what upstreams state about themselves in their responses, beside what the store states
+// of them: that they leave, that they ask for a cooldown, and the rate that they accept.
 //
-// All are words of one life, and are kept by it and not by the request or the connection that
-// brought them. The list may drop an upstream's entry and take it in again while the store is away,
-// and an entry may be older than the word.
+// Each statement is about one incarnation and is stored by it, not by the request or connection that
+// delivered it. The list may drop an upstream's entry and add it again during an outage of the store, and
+// an entry may be older than the statement.
 //
-// That an upstream leaves is a fact of its own, so it stands in the list as the store's word does, and
-// goes where the list goes: to the nodes of the hall that ask this one, and to what is ordered. Rest
-// is asked of one node, by its sends, and stays with it (retry.Rests). A limit is named for all nodes
-// together, and they share it (package limit).
+// Leaving is recorded in the list, like the store's own data, and is propagated with the list: to the
+// nodes of the hall that ask this one, and to the ordering of upstreams. A cooldown applies to one node,
+// for the requests it sent, and stays there (retry.Cooldowns). A limit applies to all nodes together, and
+// they share it (package limit).
 
-// Incarnation names the life that the entry is of.
+// Incarnation identifies the incarnation that the entry is of.
 func (e Entry) Incarnation() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
 
-// MarkLeaving takes in that an upstream has said itself that it leaves. It is the word of the life that
-// the entry names.
+// MarkLeaving records that an upstream has stated in a response that it is leaving. e identifies its
+// incarnation.
 func (l *List) MarkLeaving(e Entry) {
 	v, ok := l.items[e.ID]
 	if ok && v.Entry.isOtherIncarnation(e) {
@@ -40,7 +40,7 @@
 	l.items[e.ID] = v
 }
 
-// noteDropped remembers an entry that isn't held any more.
+// recordDropped remembers an entry that is no longer listed.
 func (l *List) recordDropped(v Item) {
 	if len(l.dropped) >= maxIDs {
 		clear(l.dropped)
@@ -48,23 +48,23 @@
 	l.dropped[v.Entry.ID] = dropped{v, l.now}
 }
 
-// isOfACopy tells whether an entry that isn't held is one that went, as an older copy of the store has
-// it: the same write, by a later era. Whoever lives writes again.
+// isFromOlderCopy reports whether an entry that isn't listed is a dropped one, restored from an older copy
+// of the store: the same write, in a later era. A running upstream writes its entry again.
 func (l *List) isFromOlderCopy(v Item) bool {
 	old, ok := l.dropped[v.Entry.ID]
 	return ok && old.Revision != 0 && era.Of(v.Revision) > era.Of(old.Revision) && era.Number(v.Revision) == era.Number(old.Revision)
 }
 
-// StartCooldown says that an upstream wants nothing from this node for so long, and returns whether that is
-// new.
+// StartCooldown records that an upstream must not be sent requests by this node for the given time, and
+// reports whether it had no cooldown before.
 func (p *Pools) StartCooldown(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cooldowns.Start(p.clock.Now(), e.Incarnation(), d)
 }
 
-// ObserveLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
-// takes from all nodes together, and returns whether that is news.
+// ObserveLimit records what an upstream's response, to a request sent at the given time, states about the
+// rate that it accepts from all nodes together. It reports whether that is new.
 func (p *Pools) ObserveLimit(e Entry, l call.Limit, sent time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,29 +78,29 @@
 	return false
 }
 
-// ApplyLimits takes in what another node knows of limits, and returns what is news.
-func (p *Pools) ApplyLimits(words []limit.Word) []limit.Word {
+// ApplyLimits applies the limits that another node knows of, and returns those that are new.
+func (p *Pools) ApplyLimits(list []limit.Word) []limit.Word {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Hear(p.clock.Now(), words)
+	return p.limits.Hear(p.clock.Now(), list)
 }
 
-// Limits returns what is known of limits, for other nodes.
+// Limits returns the known limits, for other nodes.
 func (p *Pools) Limits() []limit.Word {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.Words(p.clock.Now())
 }
 
-// SetSenders says which nodes share limits, and which of them place requests at engines for all others.
+// SetSenders sets which nodes share limits, and which of them place requests at engines for all others.
 func (p *Pools) SetSenders(nodes, placers []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.SetNodes(nodes, placers)
 }
 
-// AllowQuery tells whether an upstream may be asked something beside requests now, and counts the question against its
-// limit.
+// AllowQuery reports whether an upstream may be sent a query other than a request now, and counts the
+// query against its limit.
 func (p *Pools) AllowQuery(e Entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,8 +112,7 @@
 	return true
 }
 
-// Leaving tells whether the list has it that the life which an entry names leaves, or that it is
-// over.
+// Leaving reports whether, according to the list, the incarnation of an entry is leaving or has ended.
 func (p *Pools) Leaving(e Entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/says_test.go
+++ b/internal/pool/says_test.go
@@ -11,48 +11,48 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// leavingOf returns whether the entry held of an id is leaving.
+// leavingOf reports whether the listed entry of an id is leaving.
 func leavingOf(l *List, id string) bool {
 	leaving := false
 	l.Items(func(v Item) { leaving = leaving || v.Entry.ID == id && v.Entry.Leaving })
 	return leaving
 }
 
-// TestOwnWordOfLeaving: that an upstream leaves holds for the life that said so, whatever the
-// store writes of that life, and for no other.
+// TestLeavingStatedInResponse: that an upstream is leaving must apply to the incarnation that stated it,
+// whatever the store contains for that incarnation, and to no other.
 func TestLeavingStatedInResponse(t *testing.T) {
-	said := func() *List {
+	stated := func() *List {
 		l := NewList()
 		l.Put(incarnationAt(5, 1, false))
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		return l
 	}
 	t.Run("an entry that says ready", func(t *testing.T) {
-		l := said()
+		l := stated()
 		l.Put(incarnationAt(5, 2, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
-	t.Run("an entry that went and came again", func(t *testing.T) {
-		l := said()
+	t.Run("an entry that was deleted and written again", func(t *testing.T) {
+		l := stated()
 		l.Delete(start, "a")
 		l.Put(incarnationAt(5, 9, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
-	t.Run("one that lapsed with the store, too", func(t *testing.T) {
-		l := said()
+	t.Run("also one that lapsed in a store outage", func(t *testing.T) {
+		l := stated()
 		l.StoreReturned(start)
 		l.Replace(start, 9, nil)
 		l.Expire(start.Add(lapseGrace))
 		l.Put(incarnationAt(5, 10, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
-	t.Run("a word that comes while the entry is away", func(t *testing.T) {
+	t.Run("a response that arrives while the entry is absent", func(t *testing.T) {
 		l := NewList()
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		l.Put(incarnationAt(5, 1, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
-	t.Run("which is taken for known then", func(t *testing.T) {
+	t.Run("which is known from then on", func(t *testing.T) {
 		p := New(timer.NewManual(start).Service(), "self", "a")
 		e := Entry{ID: "a", Born: 5}
 		assert.False(t, p.Leaving(e))
@@ -60,24 +60,24 @@
 		assert.True(t, p.Leaving(e))
 		assert.False(t, p.Leaving(Entry{ID: "a", Born: 6}))
 	})
-	t.Run("the next life is used", func(t *testing.T) {
-		l := said()
+	t.Run("the next incarnation is used", func(t *testing.T) {
+		l := stated()
 		l.Put(incarnationAt(6, 2, false))
 		assert.False(t, leavingOf(l, "a"))
 	})
-	t.Run("also after its entry was away", func(t *testing.T) {
-		l := said()
+	t.Run("also after its entry was absent", func(t *testing.T) {
+		l := stated()
 		l.Delete(start, "a")
 		l.Put(incarnationAt(6, 2, false))
 		assert.False(t, leavingOf(l, "a"))
 	})
-	t.Run("a late word of the life before changes nothing", func(t *testing.T) {
-		l := said()
+	t.Run("a late response of the previous incarnation changes nothing", func(t *testing.T) {
+		l := stated()
 		l.Put(incarnationAt(6, 2, false))
 		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		assert.False(t, leavingOf(l, "a"))
 	})
-	t.Run("what is remembered of lives that are gone is bounded", func(t *testing.T) {
+	t.Run("the number of remembered dropped entries is bounded", func(t *testing.T) {
 		l := NewList()
 		for i := range 3 * maxIDs {
 			l.MarkLeaving(Entry{ID: string(rune(i)), Born: 1})
@@ -86,7 +86,7 @@
 	})
 }
 
-// rest lets an upstream ask for rest.
+// startCooldown lets an upstream ask for a cooldown.
 func startCooldown(p *Pools, id string, d time.Duration) {
 	for _, v := range p.Items() {
 		if v.Entry.ID == id {
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestRest plays rests of upstreams on a clock.
+// TestCooldown checks cooldowns of upstreams with a manual clock.
 func TestCooldown(t *testing.T) {
 	newPools := func() (*timer.Manual, *Pools) {
 		c := timer.NewManual(start)
@@ -108,7 +108,7 @@
 		}
 		return u != nil
 	}
-	t.Run("nothing until it ends, and then at once", func(t *testing.T) {
+	t.Run("no requests until it ends, and then at once", func(t *testing.T) {
 		c, p := newPools()
 		startCooldown(p, "a1", 3*time.Second)
 		assert.False(t, picks(p, "a1"))
@@ -117,20 +117,20 @@
 		c.Advance(1)
 		assert.True(t, picks(p, "a1"))
 	})
-	t.Run("a shorter word doesn't cut a longer one", func(t *testing.T) {
+	t.Run("a shorter cooldown does not replace a longer one", func(t *testing.T) {
 		c, p := newPools()
 		startCooldown(p, "a1", 3*time.Second)
 		startCooldown(p, "a1", time.Second)
 		c.Advance(2 * time.Second)
 		assert.False(t, picks(p, "a1"))
 	})
-	t.Run("a relay's word doesn't go past it", func(t *testing.T) {
+	t.Run("a relay's choice does not override it", func(t *testing.T) {
 		_, p := newPools()
 		startCooldown(p, "a1", time.Second)
 		u := p.PickAt(Request{ID: "x", Service: "s"}, "a1")
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
-	t.Run("nor is it the last resort when all others are ejected", func(t *testing.T) {
+	t.Run("nor is it the fallback when all others are ejected", func(t *testing.T) {
 		_, p := newPools()
 		startCooldown(p, "a1", time.Second)
 		for range 20 {
@@ -141,7 +141,7 @@
 		u := p.Pick(Request{ID: "x", Service: "s"})
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
-	t.Run("an entry that lapses and comes again rests on", func(t *testing.T) {
+	t.Run("the cooldown continues if the entry lapses and reappears", func(t *testing.T) {
 		_, p := newPools()
 		u := pickFrom(p, "a1")
 		p.StartCooldown(u.Entry(), 3*time.Second)
@@ -149,7 +149,7 @@
 		p.Update(func(l *List) { l.Put(Item{Entry: u.Entry(), Revision: 9}) })
 		assert.False(t, picks(p, "a1"))
 	})
-	t.Run("the next life doesn't", func(t *testing.T) {
+	t.Run("it does not apply to the next incarnation", func(t *testing.T) {
 		_, p := newPools()
 		e := pickFrom(p, "a1").Entry()
 		e.Born = 5
@@ -159,7 +159,7 @@
 		p.Update(func(l *List) { l.Put(Item{Entry: e, Revision: 3}) })
 		assert.True(t, picks(p, "a1"))
 	})
-	t.Run("when all rest, the time to the first one's end is told", func(t *testing.T) {
+	t.Run("if all upstreams are in a cooldown, RetryAfter returns the shortest remaining time", func(t *testing.T) {
 		c, p := newPools()
 		for i, id := range []string{"a1", "a2", "b1", "b2"} {
 			assert.Zero(t, p.RetryAfter("s"))
@@ -173,58 +173,59 @@
 	})
 }
 
-// dated is a revision of an era.
+// dated returns a revision of an era.
 func dated(t *testing.T, e, number int64) int64 {
 	r, err := era.Revision(e, number)
 	require.NoError(t, err)
 	return r
 }
 
-// TestListOverAnOlderCopy: the store comes back from a copy, with older entries and lower numbers.
+// TestListAfterRestoreOfOlderCopy: the store is restored from a copy, with older entries and lower
+// numbers.
 func TestListAfterRestoreOfOlderCopy(t *testing.T) {
 	entry := func(id string, revision int64) Item { return item(id, revision) }
-	held := func(t *testing.T) *List {
+	listOf := func(t *testing.T) *List {
 		l := NewList()
 		l.Replace(start, dated(t, 1, 50), []Item{entry("a", dated(t, 1, 10)), entry("b", dated(t, 1, 11)), entry("c", dated(t, 1, 40))})
 		return l
 	}
-	t.Run("what the copy lacks is believed for the grace time, and gone after", func(t *testing.T) {
-		l := held(t)
+	t.Run("what the copy lacks is kept for the grace period, and dropped after it", func(t *testing.T) {
+		l := listOf(t)
 		l.Replace(start, dated(t, 2, 20), []Item{entry("a", dated(t, 2, 10)), entry("b", dated(t, 2, 11))})
 		assertListed(t, l, "a", "b", "c")
 		assert.Equal(t, []string{"c"}, l.Expire(start.Add(lapseGrace)))
 	})
 	t.Run("unless it is written again", func(t *testing.T) {
-		l := held(t)
+		l := listOf(t)
 		l.Replace(start, dated(t, 2, 20), []Item{entry("a", dated(t, 2, 10)), entry("b", dated(t, 2, 11))})
 		l.Put(entry("c", dated(t, 2, 21)))
 		assert.Empty(t, l.Expire(start.Add(lapseGrace)))
 	})
-	t.Run("what has left since the copy stays away", func(t *testing.T) {
-		l := held(t)
+	t.Run("what was removed since the copy stays removed", func(t *testing.T) {
+		l := listOf(t)
 		l.Remove(start, dated(t, 1, 51), "b")
 		l.Replace(start, dated(t, 2, 20), []Item{entry("a", dated(t, 2, 10)), entry("b", dated(t, 2, 11))})
 		assert.False(t, listed(l, "b"))
 		l.Put(entry("b", dated(t, 2, 30)))
-		assert.True(t, listed(l, "b"), "whoever writes again lives")
+		assert.True(t, listed(l, "b"), "an upstream that writes again is running")
 	})
-	t.Run("what was leaving stays so", func(t *testing.T) {
-		l := held(t)
+	t.Run("an upstream that was leaving still is", func(t *testing.T) {
+		l := listOf(t)
 		v := entry("b", dated(t, 1, 51))
 		v.Entry.Leaving = true
 		l.Put(v)
 		l.Replace(start, dated(t, 2, 20), []Item{entry("a", dated(t, 2, 10)), entry("b", dated(t, 2, 11))})
 		assert.True(t, leavingOf(l, "b"))
 	})
-	t.Run("a list of an earlier era that comes late changes nothing", func(t *testing.T) {
-		l := held(t)
+	t.Run("a late list of an earlier era changes nothing", func(t *testing.T) {
+		l := listOf(t)
 		l.Replace(start, dated(t, 2, 20), []Item{entry("a", dated(t, 2, 10))})
 		l.Replace(start, dated(t, 1, 60), []Item{entry("d", dated(t, 1, 60))})
 		assert.False(t, listed(l, "d"))
 	})
 }
 
-// listed tells whether an entry is held.
+// listed reports whether an id is listed.
 func listed(l *List, id string) bool {
 	found := false
 	l.Items(func(v Item) { found = found || v.Entry.ID == id })
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -11,14 +11,14 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// calm is a load that one upstream could carry alone: requests one after the other, as a quiet hour
-// has them. Nothing but what is believed of the upstreams tells them apart, so it is the load that shows
-// a belief that has no ground.
+// lightLoad is a load that one upstream could carry alone: requests one after the other, as on a quiet
+// service. Only the estimated slowness distinguishes the upstreams under this load, so it shows estimates
+// that are not justified.
 type lightLoad struct {
 	clock  *timer.Manual
 	p      *Pools
 	engine bool
-	takes  map[string]time.Duration // of one answer's first event, by upstream
+	takes  map[string]time.Duration // time to the first event, by upstream
 	gets   map[string]int
 	n      int
 }
@@ -35,7 +35,7 @@
 	return &lightLoad{clock: c, p: p, engine: engine, takes: takes, gets: make(map[string]int)}
 }
 
-// play lets requests come for so long, and returns how many each upstream got.
+// play sends requests for the given time, and returns how many each upstream got.
 func (l *lightLoad) play(d time.Duration) map[string]int {
 	clear(l.gets)
 	for until := l.clock.Service().Now().Add(d); l.clock.Service().Now().Before(until); {
@@ -53,7 +53,7 @@
 	return l.gets
 }
 
-// stall lets one answer of an upstream take that long.
+// stall lets one response of an upstream take the given time.
 func (l *lightLoad) stall(id string, d time.Duration) {
 	n := Request{ID: "stall", Service: "s", Engine: l.engine, Excluded: make(map[string]bool)}
 	for v := range l.takes {
@@ -65,7 +65,7 @@
 	u.End(ResultGood)
 }
 
-// restart is the next life of an upstream.
+// restart lists the next incarnation of an upstream.
 func (l *lightLoad) restart(id string, born int64) {
 	l.p.Update(func(v *List) {
 		v.Put(Item{Entry: Entry{ID: id, Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8, Born: born}, Revision: born})
@@ -83,31 +83,32 @@
 	assert.LessOrEqual(t, share, most, "%s of %v", id, gets)
 }
 
-// TestSlowness: callers of a quiet service found one of its two upstreams idle for as long as anybody
-// looked, and a new life of an upstream that had been restarted wasn't used for seconds. How slow an
-// upstream is was kept as a part of the mean over the pool, and the mean was held at 1: each answer that came
-// faster than the time expected made all others slower, though nothing had been heard of them.
+// TestSlowness guards against one of two upstreams of a quiet service staying idle for as long as the
+// service is quiet, and against the next incarnation of a restarted upstream not being used for seconds.
+// Both happen if slowness is kept relative to the pool's mean and the mean is normalized to 1: each
+// response that is faster than expected then makes all other upstreams look slower, without any response
+// of theirs.
 func TestSlowness(t *testing.T) {
 	for name, engine := range map[string]bool{"plain": false, "engine": true} {
 		t.Run(name, func(t *testing.T) {
-			t.Run("upstreams that are alike are used alike", func(t *testing.T) {
+			t.Run("similar upstreams are used equally", func(t *testing.T) {
 				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
 				assertShare(t, l.play(20*time.Second), "a", 0.4, 0.6)
 			})
-			t.Run("a new life is used at once", func(t *testing.T) {
+			t.Run("a new incarnation is used at once", func(t *testing.T) {
 				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond})
 				l.play(10 * time.Second)
 				l.restart("a", 2)
 				assertShare(t, l.play(time.Second), "a", 0.2, 0.8)
 			})
-			t.Run("the next life of a slow one, too", func(t *testing.T) {
+			t.Run("the next incarnation of a slow one, too", func(t *testing.T) {
 				l := newLightLoad(engine, map[string]time.Duration{"a": 40 * time.Millisecond, "b": 5 * time.Millisecond})
 				l.play(10 * time.Second)
 				l.takes["a"] = 5 * time.Millisecond
 				l.restart("a", 2)
 				assertShare(t, l.play(time.Second), "a", 0.2, 0.8)
 			})
-			t.Run("one answer that stalls says little, of its upstream and of the others", func(t *testing.T) {
+			t.Run("one stalled response has little effect, on its upstream and on the others", func(t *testing.T) {
 				l := newLightLoad(engine, map[string]time.Duration{"a": 5 * time.Millisecond, "b": 5 * time.Millisecond, "c": 5 * time.Millisecond})
 				l.play(5 * time.Second)
 				l.stall("a", 10*time.Second)
@@ -117,7 +118,7 @@
 				l.play(6 * time.Second)
 				assertShare(t, l.play(2*time.Second), "a", 0.2, 0.5)
 			})
-			t.Run("a slow one gets little", func(t *testing.T) {
+			t.Run("a slow one gets few requests", func(t *testing.T) {
 				l := newLightLoad(engine, map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond, "c": 50 * time.Millisecond})
 				l.play(5 * time.Second)
 				assertShare(t, l.play(20*time.Second), "a", 0, 0.1)
@@ -133,8 +134,9 @@
 	}
 }
 
-// TestPaceBounds: an upstream that answers far faster than the others, as one does whose prompts are cached, is believed
-// to be twice as fast at most. More would send it everything that the others could take sooner.
+// TestPaceBounds: an upstream that responds far faster than the others, such as one that has its prompts
+// cached, is estimated as at most twice as fast. Otherwise it would get all requests, including those that
+// other upstreams would finish sooner.
 func TestPaceBounds(t *testing.T) {
 	var p pace
 	for range 100 {
--- a/internal/pool/split.go
+++ b/internal/pool/split.go
@@ -8,26 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file keeps versions of a service's upstreams apart while one takes the place of
-// another. Package rollout decides which of them takes what; here its word is kept to.
+// This file separates the versions of a service's upstreams while one replaces another. Package rollout
+// decides which versions take which requests; this file applies its decisions.
 //
-// An upstream of a version that the service didn't have gets nothing for a moment: it may be
-// the target of a roll-out that this node hasn't heard of yet. A list of upstreams and an
-// order come by two watches, in either order. After that moment a version without an order
-// is one like any other, so upstreams that are replaced without one aren't left idle.
+// An upstream of a version that is new to the service gets no requests for a moment: it may be the target
+// of a roll-out that this node has not received yet. The list of upstreams and the order of a roll-out
+// come by two watches, in any order. After that moment, a version without an order is treated like any
+// other, so that upstreams that are replaced without a roll-out are not left idle.
 
-// versionGrace is that moment: an order is known after two seconds at most, the longest that
-// the watch of the operators' keys may be silently dead, and some tenths to the other nodes.
+// versionGrace is the length of that moment: an order arrives after two seconds at most, the longest time
+// for which the watch of the operators' keys may be silently broken, and reaches the other nodes some
+// tenths of a second later.
 const versionGrace = 2500 * time.Millisecond
 
-// Split says which versions of a service take which requests. Its zero value lets all take
-// all.
+// Split is which versions of a service take which requests. With its zero value all versions take all
+// requests.
 type Split struct {
 	Target           string          // version that is rolled out; empty: none
-	ToTarget         bool            // what isn't on trial goes to the target, if any of it is there
-	TargetAsFallback bool            // the target takes what isn't on trial if nothing else is there
-	TrialUpstreams   int             // upstreams of the target that take requests on trial
-	Barred           map[string]bool // versions that take nothing
+	ToTarget         bool            // requests that are not on trial go to the target if it has upstreams
+	TargetAsFallback bool            // the target takes requests that are not on trial if there are no other upstreams
+	TrialUpstreams   int             // number of the target's upstreams that take requests on trial
+	Barred           map[string]bool // versions that take no requests
 }
 
 // SetSplit sets which versions of a service take which requests.
@@ -41,7 +42,7 @@
 	}
 }
 
-// rank orders the target's upstreams, alike on every node: the first ones take requests on
+// rank orders the target's upstreams, in the same way on every node: the first ones take requests on
 // trial.
 func (p *Pools) rank(service string) {
 	s := p.splits[service]
@@ -60,11 +61,11 @@
 	}
 }
 
-// notRanked is the rank of what is no upstream of a target.
+// notRanked is the rank of an upstream that does not belong to a roll-out's target.
 const notRanked = -1
 
-// noteVersion notes when a version of a service was first seen. Those of the first list are
-// no news.
+// recordVersion records when a version of a service was first seen. Versions of the first list are not
+// considered new.
 func (p *Pools) recordVersion(now time.Time, e Entry) {
 	v := p.versions[e.Service]
 	if v == nil {
@@ -80,8 +81,8 @@
 	v[e.Version] = now
 }
 
-// serves tells whether a member's version takes a request. Where it is too new to be known,
-// only serves as a spare.
+// serves reports whether a member's version takes a request, or takes it only as a spare: if it is too new
+// to be known, or is the side of the roll-out that is used only as a fallback.
 func (p *Pools) serves(now time.Time, m *member, n Request) (takes, spare bool) {
 	s, v := p.splits[n.Service], m.entry.Version
 	target := s.Target != "" && v == s.Target
@@ -99,8 +100,9 @@
 	return !target, target && s.TargetAsFallback
 }
 
-// Versions counts the upstreams of a service that take requests and are of a version, those
-// of all others, and the requests at the others.
+// Versions returns the number of a service's upstreams that are of the given version and not leaving, the
+// number of other upstreams that are neither leaving nor barred, and the requests in progress at upstreams
+// of other versions that are not barred.
 func (p *Pools) Versions(service, version string) (of, others, running int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/state.go
+++ b/internal/pool/state.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// This file is what is believed of upstreams, for operators. Nothing is decided by it.
+// This file shows operators what a node believes of its upstreams. No decision depends on it.
 
-// State is what a node believes of one upstream, and does about it.
+// State is what a node believes of one upstream, and how it treats it.
 type State struct {
 	Entry          Entry
-	Misplaced      bool          // another upstream has its address
-	Cooldown       time.Duration // how long it gets nothing from this node; 0: it may
-	Limited        bool          // it names a rate for all nodes together
+	Misplaced      bool          // another upstream uses its address
+	Cooldown       time.Duration // how long this node still sends it no requests; 0: none
+	Limited        bool          // it states a rate for all nodes together
 	Rate           float64       // requests a second
-	LimitAge       time.Duration // since it last said so
-	Share          float64       // requests a second of this node's; 0: others may send there
-	Slowness       float64       // times as long as usual that its answers are believed to take
-	UnreachableAge time.Duration // since it couldn't be reached; negative: it could, or that was too long ago to count
-	Running        int           // requests of this node there
+	LimitAge       time.Duration // since it last stated the rate
+	Share          float64       // this node's share in requests a second; 0: only other nodes may send to it
+	Slowness       float64       // how many times as long as usual its responses are believed to take
+	UnreachableAge time.Duration // since it was last unreachable; negative: reachable, or too long ago to count
+	Running        int           // requests of this node in progress there
 }
 
-// States returns what is believed of the upstreams of a service, or of all, by id.
+// States returns the state of the upstreams of a service, or of all services if it is empty, sorted by
+// service and id.
 func (p *Pools) States(service string) []State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/state_test.go
+++ b/internal/pool/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStates: what operators are shown is what the choice goes by.
+// TestStates: operators must be shown the values that the choice uses.
 func TestStates(t *testing.T) {
 	p, clock, entries := limited(t)
 	state := func(id string) State {
--- a/internal/pool/unborn_test.go
+++ b/internal/pool/unborn_test.go
@@ -10,10 +10,11 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestLivesWithoutBirth: an upstream whose entries name no birth said that it leaves, ended, and came back under its
-// id. It was listed and never used again: leaving is for good in one life, and nothing ended a life but
-// another birth. A pool of processes that are restarted in place was empty when the last of them had been.
-// Which evidence ends such a life is here, and what is none.
+// TestIncarnationsWithoutStartTime guards against an upstream without a start time that is listed and
+// never used again after it announced that it leaves, ended, and was restarted under its id: leaving is
+// final within an incarnation, and only a different start time used to end one. A pool of processes that
+// are restarted in place was empty after the last restart. The cases list which evidence ends such an
+// incarnation, and which does not.
 func TestIncarnationsWithoutStartTime(t *testing.T) {
 	left := func() *List {
 		l := NewList()
@@ -21,16 +22,16 @@
 		l.MarkLeaving(incarnationAt(0, 1, false).Entry)
 		return l
 	}
-	for name, born := range map[string]int64{"which names none either": 0, "which names one": 7} {
-		t.Run("the next life, "+name, func(t *testing.T) {
-			t.Run("after its entry was gone for longer than a living one's may be", func(t *testing.T) {
+	for name, born := range map[string]int64{"also without a start time": 0, "with a start time": 7} {
+		t.Run("the next incarnation, "+name, func(t *testing.T) {
+			t.Run("after its entry was absent for longer than that of a running one may be", func(t *testing.T) {
 				l := left()
 				l.Delete(start, "a")
 				l.Expire(start.Add(lapseGrace))
 				l.Put(incarnationAt(born, 2, false))
 				assert.False(t, leavingOf(l, "a"))
 			})
-			t.Run("after it has said itself that it leaves, in its entry", func(t *testing.T) {
+			t.Run("after its entry declared that it leaves", func(t *testing.T) {
 				l := NewList()
 				l.Put(incarnationAt(0, 1, true))
 				l.Put(incarnationAt(born, 2, false))
@@ -45,64 +46,64 @@
 			})
 		})
 	}
-	t.Run("a birth where none was named is the next life's", func(t *testing.T) {
+	t.Run("a start time where there was none is of the next incarnation", func(t *testing.T) {
 		l := left()
 		l.Put(incarnationAt(7, 2, false))
 		assert.False(t, leavingOf(l, "a"))
-		t.Run("of which a word of the one before says nothing", func(t *testing.T) {
+		t.Run("to which a response of the previous one does not apply", func(t *testing.T) {
 			l.MarkLeaving(incarnationAt(0, 1, false).Entry)
 			assert.False(t, leavingOf(l, "a"))
 		})
-		t.Run("and an entry without one that comes after it is of the life held", func(t *testing.T) {
+		t.Run("and a later entry without one is of the listed incarnation", func(t *testing.T) {
 			l.MarkLeaving(incarnationAt(7, 2, false).Entry)
 			l.Put(incarnationAt(0, 3, false))
 			assert.True(t, leavingOf(l, "a"))
 		})
 	})
-	t.Run("an answer of the life before, that comes late, says nothing of the next", func(t *testing.T) {
+	t.Run("a late response of the previous incarnation does not apply to the next", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(0, 1, true))
 		l.Put(incarnationAt(0, 2, false))
 		l.MarkLeaving(incarnationAt(0, 1, false).Entry)
 		assert.False(t, leavingOf(l, "a"))
 	})
-	t.Run("who is told by others of the next life believes it", func(t *testing.T) {
-		told := NewList()
-		told.Put(incarnationAt(0, 1, false))
-		told.MarkLeaving(incarnationAt(0, 1, false).Entry)
+	t.Run("a list that receives the next incarnation from another node applies it", func(t *testing.T) {
+		other := NewList()
+		other.Put(incarnationAt(0, 1, false))
+		other.MarkLeaving(incarnationAt(0, 1, false).Entry)
 		l := left()
 		l.Delete(start, "a")
 		l.Expire(start.Add(lapseGrace))
 		l.Put(incarnationAt(0, 5, false))
-		var word Item
-		l.Items(func(v Item) { word = v })
-		told.Put(word)
-		assert.False(t, leavingOf(told, "a"))
-		t.Run("and goes on doing so when the store tells of it", func(t *testing.T) {
-			l.Items(func(v Item) { told.MarkLeaving(v.Entry) })
-			told.Put(incarnationAt(0, 6, false))
-			assert.True(t, leavingOf(told, "a"))
+		var received Item
+		l.Items(func(v Item) { received = v })
+		other.Put(received)
+		assert.False(t, leavingOf(other, "a"))
+		t.Run("and still does when the store contains it", func(t *testing.T) {
+			l.Items(func(v Item) { other.MarkLeaving(v.Entry) })
+			other.Put(incarnationAt(0, 6, false))
+			assert.True(t, leavingOf(other, "a"))
 		})
-		t.Run("nor is that life told again another one", func(t *testing.T) {
-			word.Revision = 7
-			told.Put(word)
-			assert.True(t, leavingOf(told, "a"))
+		t.Run("and that incarnation received again is not another one", func(t *testing.T) {
+			received.Revision = 7
+			other.Put(received)
+			assert.True(t, leavingOf(other, "a"))
 		})
 	})
 	t.Run("no evidence", func(t *testing.T) {
-		t.Run("an entry that says ready, of one that said otherwise in an answer", func(t *testing.T) {
+		t.Run("an entry that says ready after a response said leaving", func(t *testing.T) {
 			l := left()
 			l.Put(incarnationAt(0, 2, false))
 			assert.True(t, leavingOf(l, "a"))
 		})
-		t.Run("an entry that was gone for no longer than a living one's may be", func(t *testing.T) {
+		t.Run("an entry that was absent for no longer than that of a running one may be", func(t *testing.T) {
 			l := left()
 			l.Delete(start, "a")
 			l.Expire(start.Add(lapseGrace - time.Millisecond))
 			l.Put(incarnationAt(0, 2, false))
 			assert.True(t, leavingOf(l, "a"))
 		})
-		t.Run("one that lapsed with the store, and is back soon after it", func(t *testing.T) {
+		t.Run("one that lapsed in a store outage and is back soon after it", func(t *testing.T) {
 			l := left()
 			l.Delete(start, "a")
 			l.Expire(start.Add(lapseGrace))
@@ -110,14 +111,14 @@
 			l.Replace(start.Add(time.Minute), 9, []Item{incarnationAt(0, 9, false)})
 			assert.True(t, leavingOf(l, "a"))
 		})
-		t.Run("an entry from before, of an older copy of the store", func(t *testing.T) {
+		t.Run("an older entry, from an older copy of the store", func(t *testing.T) {
 			l := NewList()
 			l.Replace(start, dated(t, 1, 50), []Item{incarnationAt(0, dated(t, 1, 40), true)})
 			for range 2 { // the copy is read again
 				l.Replace(start, dated(t, 2, 20), []Item{incarnationAt(0, dated(t, 2, 10), false)})
 				assert.True(t, leavingOf(l, "a"))
 			}
-			t.Run("but one that is written after it", func(t *testing.T) {
+			t.Run("but one that is written after the restore is", func(t *testing.T) {
 				l.Put(incarnationAt(0, dated(t, 2, 21), false))
 				assert.False(t, leavingOf(l, "a"))
 			})
@@ -125,7 +126,8 @@
 	})
 }
 
-// TestNextLifeWithoutBirthBeginsAnew: what was known of a life goes with it, also where none names a birth.
+// TestNewIncarnationWithoutStartTimeStartsFresh: what is known of an incarnation must be dropped with it,
+// also if neither has a start time.
 func TestNewIncarnationWithoutStartTimeStartsFresh(t *testing.T) {
 	c := timer.NewManual(start)
 	p := New(c.Service(), "self", "h")
@@ -138,10 +140,10 @@
 	assert.Nil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	p.Update(func(l *List) { l.Put(incarnationAt(0, 3, false)) })
 	v := p.Pick(Request{ID: "x", Service: "s"})
-	if assert.NotNil(t, v, "its address is its own again, and it asked for no rest") {
+	if assert.NotNil(t, v, "its address is its own again, and it has no cooldown") {
 		assert.Equal(t, 0, v.Choice().Running)
 	}
-	t.Run("also after it was away", func(t *testing.T) {
+	t.Run("also after it was absent", func(t *testing.T) {
 		p.StartCooldown(v.Entry(), time.Hour)
 		p.Update(func(l *List) { l.Delete(start, "a") })
 		p.Update(func(l *List) { l.Expire(start.Add(lapseGrace)) })
--- a/internal/pool/unseen.go
+++ b/internal/pool/unseen.go
@@ -2,29 +2,29 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// This file keeps nodes from all going where it was best a moment ago.
+// This file prevents all nodes from choosing the upstream that was best a moment ago.
 //
-// What others have at an upstream is known some tenths of a second late, and where it comes
-// through relays all nodes know the same. The upstream that looks best is then sent the
-// requests of all of them until the next word. How much that may be is known on average:
-// the others' requests that run, over the time that one lasts, come anew in that time. So
-// each upstream is taken to have got a part of it that nobody knows, up to some times the
-// average, drawn by the request and the upstream: requests spread over all that are about as
-// good, and further the older the word is.
+// The load of other nodes at an upstream is known some tenths of a second late, and if it comes through
+// relays, all nodes have the same figures. The upstream that looks best would then get the requests of all
+// of them until the next figures arrive. The average number of these requests is known: in the duration of
+// a request, as many start anew as the other nodes have in progress. Each upstream is therefore assumed to
+// have received a share of them that is not reported yet, up to a few times the average, drawn
+// pseudo-randomly from the request's and the upstream's id. Requests thereby spread over all upstreams
+// that are about as good, and further as the figures age.
 //
-// The load that this answers: some hundred nodes before engines that read for most of their
-// time (TestFreshFiguresDontHerd plays it).
+// It was designed for a few hundred nodes whose engines read prompts most of the time
+// (TestFreshFiguresDontHerd simulates that load).
 //
-// Weighed: levelling the queues by what has come unseen before choosing. All nodes fill the
-// same valleys. Choosing
-// the best of a few drawn at random, on paper only: it forgets where a prompt's parts are cached.
+// Alternatives considered: levelling the queues by the unreported work before the choice, where all nodes
+// fill the same gaps; and choosing the best of a few randomly drawn upstreams (on paper only), which
+// ignores where a prompt's parts are cached.
 
-// unseenMost is the most that an upstream is taken to have got, in averages.
+// maxUnreportedFactor is the maximum of the unreported work that is assumed for an upstream, in averages.
 const maxUnreportedFactor = 4
 
-// unseen is what other nodes have sent to an upstream of a service since their last word on
-// average, in milliseconds of its time. running is the others' requests there as they told,
-// and age how old that is, on average, in milliseconds.
+// unreported returns the work that other nodes have sent to an upstream of a service since their last
+// reports on average, in milliseconds. running is the number of requests in the reports, and age their
+// average age in milliseconds.
 func (p *Pools) unreported(name string, running, age float64) float64 {
 	s, members := p.service(name), p.services[name]
 	if len(members) == 0 || s.durationMs <= 0 {
@@ -37,7 +37,7 @@
 	return requests * plainFullFactor * s.responseMs / float64(max(members[0].entry.Slots, 1))
 }
 
-// luck is a number from 0 to 1 for a request at an upstream.
-func randomTieBreak(request, upstream string) float64 {
+// randomFraction returns a pseudo-random number from 0 to 1 for a request at an upstream.
+func randomFraction(request, upstream string) float64 {
 	return float64(xxhash.Sum64String(request+"\x00"+upstream)>>11) / (1 << 53)
 }
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -6,56 +6,56 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file is one request's use of an upstream, and what the upstream is judged by.
+// This file tracks the use of an upstream by one request, and derives the upstream's health from it.
 
-// Result is how a request at an upstream ended, as far as it tells of the upstream.
+// Result is how a request at an upstream ended, as far as it matters for the upstream.
 type Result int
 
-// Use is one request's use of an upstream, from the choice to its end.
+// Use is the use of an upstream by one request, from the choice to its end.
 type Use struct {
 	p            *Pools
 	m            *member
-	entry        Entry // as it was chosen
+	entry        Entry // as of the choice
 	choice       Choice
 	sentAt       time.Time
 	engine       bool
 	prompt       float64 // counted as queued until the first event
 	reserved     float64
-	expectedMs   float64       // milliseconds to the first event, as guessed
-	reads        float64       // prompt tokens read before the first event, as guessed
-	output       float64       // tokens that go out at most
-	rank         int           // among the target's upstreams of a roll-out; notRanked: none of these
-	onTrial      bool          // of a version that is on trial: it tells nothing of the service's upstreams
-	fetch        string        // address of the upstream that it takes cached parts from
+	expectedMs   float64       // expected milliseconds to the first event
+	reads        float64       // expected number of prompt tokens read before the first event
+	output       float64       // maximum number of output tokens
+	rank         int           // among the upstreams of a roll-out's target; notRanked: not one of them
+	onTrial      bool          // of a version on trial: not representative of the service's upstreams
+	fetch        string        // address of the upstream that it fetches cached parts from
 	work         capacity.Work // counted as sent
 	firstEventAt time.Time
 	started      bool
 	ended        bool
-	countedLimit bool // it was counted against its upstream's limit by this node
+	countedLimit bool // this node counted the request against the upstream's limit
 }
 
-// Choice is what an upstream was chosen by.
+// Choice describes what the choice of an upstream was based on.
 type Choice struct {
-	Candidates   int           // upstreams looked at
-	Limited      int           // others, whose limits were used up
-	Running      int           // requests there, of all nodes
-	Queued       float64       // prompt tokens there without a first token
-	Cached       float64       // tokens of the prompt taken to be cached there
-	Fetched      float64       // tokens of the prompt to be taken from another upstream
-	Slowness     float64       // times as long as usual that its answers are taken to last
+	Candidates   int           // number of upstreams considered
+	Limited      int           // number of upstreams left out because their limits were used up
+	Running      int           // requests in progress there, of all nodes
+	Queued       float64       // prompt tokens there waiting for their first token
+	Cached       float64       // prompt tokens believed to be cached there
+	Fetched      float64       // prompt tokens to be fetched from another upstream
+	Slowness     float64       // how many times as long as usual its responses are believed to take
 	Revision     int64         // of the list
 	ByRelay      bool          // a relay chose it
 	OldestReport time.Duration // age of the oldest report of another node that counted
 }
 
-// Choice returns what the upstream was chosen by.
+// Choice returns what the choice of the upstream was based on.
 func (u *Use) Choice() Choice { return u.choice }
 
 // Rank returns the upstream's rank among those of a roll-out's target, or -1.
 func (u *Use) Rank() int { return u.rank }
 
-// Lag returns the time to the first event, or to a plain answer's head, as a part of what was
-// expected; 0: it hasn't come.
+// Lag returns the time to the first event, or to the header of a plain response, as a multiple of the
+// expected time; 0 if it hasn't arrived.
 func (u *Use) Lag() float64 {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
@@ -65,11 +65,11 @@
 	return float64(u.firstEventAt.Sub(u.sentAt)) / float64(time.Millisecond) / u.expectedMs
 }
 
-// Fetch returns the address of the upstream that has more of the prompt cached, if the one
-// chosen should take it from there.
+// Fetch returns the address of the upstream that has more of the prompt cached, if the chosen one should
+// fetch it from there.
 func (u *Use) Fetch() string { return u.fetch }
 
-// Leaving tells whether the upstream has announced that it leaves, or isn't listed any more: its
+// Leaving reports whether the upstream has announced that it leaves, or is no longer listed, so that its
 // end is planned.
 func (u *Use) Leaving() bool {
 	u.p.mu.Lock()
@@ -77,10 +77,10 @@
 	return u.m.entry.Leaving || u.p.members[u.entry.ID] != u.m
 }
 
-// Entry returns the upstream chosen.
+// Entry returns the entry of the chosen upstream.
 func (u *Use) Entry() Entry { return u.entry }
 
-// Started says that the first event, or the head of a plain answer, has arrived.
+// Started records that the first event, or the header of a plain response, has arrived.
 func (u *Use) Started() {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
@@ -101,23 +101,23 @@
 	u.m.pace.observe(u.firstEventAt, s.relativeToUsual(ms/u.expectedMs))
 }
 
-// lags takes in by how many milliseconds a first event comes later than expected.
+// observeLag records by how many milliseconds a first event came later than expected.
 func (s *service) observeLag(ms float64) { s.lagMs += lagGain * (max(0, ms) - s.lagMs) }
 
-// outOfLine is how many times as late as the service's upstreams are lately one may be before
-// it is out of line with them.
+// lagTolerance is how many times as late as the service's recent average an upstream may respond before it
+// counts as slower than the others.
 const lagTolerance = 3.0
 
-// WaitLimit is the silence after which the upstream is out of line with the service's others.
-// While all of them lag, a request that is begun anew waits elsewhere as long, and its prompt
-// is read twice when there is least to spare.
+// WaitLimit returns the silence after which the upstream counts as slower than the service's others. It
+// grows while all of them lag: a request that is started again would then wait as long elsewhere, and its
+// prompt would be read twice when there is the least capacity to spare.
 func (u *Use) WaitLimit() time.Duration {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
 	return time.Duration((u.expectedMs + lagTolerance*u.p.service(u.entry.Service).lagMs) * float64(time.Millisecond))
 }
 
-// TimedOut says that the use is given up after that silence: its upstream is that late at least.
+// TimedOut records that the use is abandoned after the given silence: the upstream lags by at least that.
 func (u *Use) TimedOut(after time.Duration) {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// End ends the use. Only its first call counts.
+// End ends the use. Only the first call has an effect.
 func (u *Use) End(r Result) {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
@@ -151,7 +151,7 @@
 	u.judge(r)
 }
 
-// learn takes in how long a request took that ended well.
+// observeDuration records how long a successful request took.
 func (u *Use) observeDuration() {
 	s, now := u.p.service(u.entry.Service), u.p.clock.Now()
 	s.durationMs += responseGain * (float64(now.Sub(u.sentAt))/float64(time.Millisecond) - s.durationMs)
@@ -160,8 +160,8 @@
 	}
 }
 
-// take counts work that is sent, less what was counted before and not taken: the sum only
-// grows, since one that falls is taken for a new process's.
+// addWork adds work that is sent, less earlier work that was counted but not executed. The sum never
+// decreases, since a decrease would be taken for the start of a new process.
 func (s *service) addWork(w capacity.Work) {
 	less := func(work, untaken *float64, x float64) {
 		d := min(x, *untaken)
--- a/internal/retry/outlier.go
+++ b/internal/retry/outlier.go
@@ -6,10 +6,10 @@
 	"spurhall.example/spurhall/internal/chart"
 )
 
-// Outliers keeps the health of the upstreams of one pool. An upstream that fails
-// several times in a row, or that is silent for long, is ejected for a while and
-// then probed with one request. Never more than a share of the pool is ejected: if
-// everything fails, the fault is elsewhere, and ejecting the rest makes it worse.
+// Outliers tracks the health of the upstreams of one pool. An upstream that fails several times in a row,
+// or that does not respond for long, is ejected for a while and then probed with one request. At most a
+// fixed share of the pool is ejected at a time: if every upstream fails, the cause lies elsewhere, and
+// ejecting the remaining ones would make it worse.
 type Outliers struct {
 	chart         *chart.Chart
 	maxShare      float64
@@ -22,15 +22,14 @@
 type health struct {
 	state     *chart.Life
 	failures  int
-	ejections int // ejections in a row
+	ejections int // consecutive ejections
 	until     time.Duration
 }
 
-// NewOutliers returns the health of a pool of which at most that share may be
-// ejected.
-func NewOutliers(share float64) *Outliers {
+// NewOutliers returns the health of a pool of which at most maxShare may be ejected.
+func NewOutliers(maxShare float64) *Outliers {
 	return &Outliers{
-		chart: chart.Load("upstream"), maxShare: share, ejectAfter: 3,
+		chart: chart.Load("upstream"), maxShare: maxShare, ejectAfter: 3,
 		firstEjection: 2 * time.Second, maxEjection: 60 * time.Second, health: make(map[string]*health),
 	}
 }
@@ -44,8 +43,8 @@
 	return h
 }
 
-// Usable tells whether the upstream may get a request now. The first question
-// after its time is up makes it a probe, which only that one caller may send.
+// Usable reports whether the upstream may be sent a request now. The first request that is sent after an
+// ejection has expired is the probe; no other request is sent until the probe's result is known.
 func (o *Outliers) Usable(now time.Duration, id string) bool {
 	h := o.health[id]
 	if h == nil || h.state.Is("live") {
@@ -57,13 +56,13 @@
 	return false
 }
 
-// Failing tells whether the upstream's newest answer that tells something was a failure.
+// Failing reports whether the upstream's latest conclusive result was a failure.
 func (o *Outliers) Failing(id string) bool {
 	h := o.health[id]
 	return h != nil && h.failures > 0
 }
 
-// Sending notes that a request goes to the upstream: to an ejected one, it is the
+// Sending records that a request is sent to the upstream. For an ejected upstream, that request is the
 // probe.
 func (o *Outliers) Sending(id string) {
 	h := o.health[id]
@@ -72,7 +71,7 @@
 	}
 }
 
-// Success notes an answer.
+// Success records a successful response.
 func (o *Outliers) Success(id string) {
 	h := o.health[id]
 	if h == nil {
@@ -84,8 +83,8 @@
 	}
 }
 
-// Inconclusive notes an attempt that says nothing of the upstream's health: its caller left,
-// or it was refused. A probe that ends so may be repeated at once.
+// Inconclusive records an attempt that gives no information on the upstream's health: the caller
+// disconnected, or the upstream rejected the request. A probe that ends this way may be repeated at once.
 func (o *Outliers) Inconclusive(now time.Duration, id string) {
 	h := o.health[id]
 	if h != nil && h.state.Is("probing") {
@@ -94,8 +93,8 @@
 	}
 }
 
-// Failure notes a failed or silent attempt in a pool of that size, and tells
-// whether it led to an ejection.
+// Failure records a failed or timed-out attempt in a pool of the given size, and reports whether it caused
+// an ejection.
 func (o *Outliers) Failure(now time.Duration, id string, size int) bool {
 	h := o.get(id)
 	h.failures++
@@ -123,5 +122,5 @@
 	return float64(n+1) <= o.maxShare*float64(size)
 }
 
-// Forget drops an upstream that is gone.
+// Forget drops the health of an upstream that was removed.
 func (o *Outliers) Forget(id string) { delete(o.health, id) }
--- a/internal/retry/rests.go
+++ b/internal/retry/rests.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// Cooldowns is the rest that upstreams ask for when they turn requests away: until it is over they get
-// nothing from this node. It is asked of one node, by its sends, and stays with it.
+// Cooldowns holds the cooldowns that upstreams asked for when they rejected requests. An upstream gets no
+// request from this node during its cooldown. An upstream asks each node separately, in its responses to
+// that node, so cooldowns are not shared between nodes.
 //
-// Weighed: to leave an upstream that rests in the choice at a high cost, as one that is full is. One
-// that asks for rest turns away all that reaches it, and the operators' bound is two sends.
+// Alternatives considered: keeping such an upstream among the candidates at a high cost, like a full one.
+// An upstream that asks for a cooldown rejects every request, and operators allow at most two sends.
 type Cooldowns struct {
 	until map[Incarnation]time.Time
 }
 
-// Incarnation names one life of an upstream: rest that one asks for isn't the next one's.
+// Incarnation identifies one run of an upstream process. A cooldown does not apply to the next
+// incarnation.
 type Incarnation struct {
 	ID   string
-	Born int64 // 0: unsaid
+	Born int64 // start time, Unix milliseconds; 0: unknown
 }
 
-// NewCooldowns returns the rests of upstreams of which none has asked for any.
+// NewCooldowns returns an empty set of cooldowns.
 func NewCooldowns() *Cooldowns { return &Cooldowns{until: make(map[Incarnation]time.Time)} }
 
-// Start takes in that an upstream wants nothing for so long, and returns whether that is new. Of two
-// such words the one that reaches further holds: answers may overtake each other.
-func (r *Cooldowns) Start(now time.Time, l Incarnation, d time.Duration) bool {
-	for k, until := range r.until {
+// Start starts a cooldown of the given length, and reports whether the upstream had none before. Of two
+// overlapping cooldowns the one that ends later applies, since responses may arrive out of order.
+func (c *Cooldowns) Start(now time.Time, i Incarnation, d time.Duration) bool {
+	for k, until := range c.until {
 		if !now.Before(until) {
-			delete(r.until, k)
+			delete(c.until, k)
 		}
 	}
-	old, rested := r.until[l]
+	old, active := c.until[i]
 	if until := now.Add(d); until.After(old) {
-		r.until[l] = until
+		c.until[i] = until
 	}
-	return !rested
+	return !active
 }
 
-// Forget drops what one life has asked for that is over, where its name may be the next one's, too.
-func (r *Cooldowns) Forget(l Incarnation) { delete(r.until, l) }
+// Forget drops the cooldown of an incarnation that has ended. It is needed where the next incarnation may
+// have the same identity.
+func (c *Cooldowns) Forget(i Incarnation) { delete(c.until, i) }
 
-// Remaining returns how long an upstream is to get nothing; 0: it may be asked.
-func (r *Cooldowns) Remaining(now time.Time, l Incarnation) time.Duration {
-	return max(0, r.until[l].Sub(now))
+// Remaining returns how long an upstream must not be sent requests; 0 if it may be sent one now.
+func (c *Cooldowns) Remaining(now time.Time, i Incarnation) time.Duration {
+	return max(0, c.until[i].Sub(now))
 }
 
-// ShortestRemaining returns how long it takes until the first of some upstreams may be asked; 0: one may be now,
-// or there are none.
-func (r *Cooldowns) ShortestRemaining(now time.Time, list []Incarnation) time.Duration {
+// ShortestRemaining returns the time until the first of the listed upstreams may be sent requests. It is 0
+// if one may be now, or if the list is empty.
+func (c *Cooldowns) ShortestRemaining(now time.Time, list []Incarnation) time.Duration {
 	least := time.Duration(0)
-	for _, l := range list {
-		d := r.Remaining(now, l)
+	for _, i := range list {
+		d := c.Remaining(now, i)
 		if d == 0 {
 			return 0
 		}
--- a/internal/retry/rests_test.go
+++ b/internal/retry/rests_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRests(t *testing.T) {
+func TestCooldowns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := Incarnation{ID: "a", Born: 1}, Incarnation{ID: "b"}
 	t.Run("until they end", func(t *testing.T) {
@@ -16,15 +16,15 @@
 		assert.Equal(t, 3*time.Second, r.Remaining(now, a))
 		assert.Equal(t, time.Nanosecond, r.Remaining(now.Add(3*time.Second-1), a))
 		assert.Zero(t, r.Remaining(now.Add(3*time.Second), a))
-		assert.Zero(t, r.Remaining(now, Incarnation{ID: "a", Born: 2}), "the next life's own")
+		assert.Zero(t, r.Remaining(now, Incarnation{ID: "a", Born: 2}), "cooldowns do not apply to the next incarnation")
 	})
-	t.Run("a shorter word doesn't cut a longer one", func(t *testing.T) {
+	t.Run("a shorter cooldown does not replace a longer one", func(t *testing.T) {
 		r := NewCooldowns()
 		r.Start(now, a, 3*time.Second)
-		assert.False(t, r.Start(now, a, time.Second), "no news")
+		assert.False(t, r.Start(now, a, time.Second), "the upstream had a cooldown already")
 		assert.Equal(t, 3*time.Second, r.Remaining(now, a))
 	})
-	t.Run("the soonest", func(t *testing.T) {
+	t.Run("shortest remaining", func(t *testing.T) {
 		r := NewCooldowns()
 		assert.Zero(t, r.ShortestRemaining(now, nil))
 		r.Start(now, a, 3*time.Second)
@@ -32,7 +32,7 @@
 		r.Start(now, b, 2*time.Second)
 		assert.Equal(t, 2*time.Second, r.ShortestRemaining(now, []Incarnation{a, b}))
 	})
-	t.Run("those that are over aren't kept", func(t *testing.T) {
+	t.Run("expired cooldowns are deleted", func(t *testing.T) {
 		r := NewCooldowns()
 		r.Start(now, a, time.Second)
 		r.Start(now.Add(time.Second), b, time.Second)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,35 +1,34 @@
-// Package retry decides whether a failed attempt may be tried again, and which
-// upstreams to leave alone for a while. It is pure: time comes in as a duration
-// since any fixed start. Decide is asked for every kind of request; what differs is the
-// budget: Budget where successes pay, Window where operators state a bound over all nodes.
+// Package retry decides whether a failed attempt may be retried, and which upstreams to avoid for a while.
+// It has no clock of its own: times are passed in, most of them as durations since an arbitrary fixed
+// start. Decide serves every kind of request. The budgets differ: Budget is filled by successes, Window
+// keeps a bound that operators set over all nodes.
 //
-// Retries are what turns a short fault into a long one: when every failed request
-// comes back, the pool stays overloaded after the cause is gone. So retries are
-// paid from a budget that only successes fill.
+// Retries can turn a short fault into a long one: if every failed request is repeated, the pool stays
+// overloaded after the cause is gone. Retries are therefore paid from a budget that only successes fill.
 package retry
 
 import "time"
 
-// Budget allows a share of recent successes to be spent on retries.
+// Budget allows retries up to a share of recent successes.
 type Budget struct {
 	share   float64
 	limit   float64
 	tokens  float64
-	floor   float64 // tokens a second that come without successes
+	floor   float64 // tokens added a second, independent of successes
 	updated time.Duration
 }
 
-// NewBudget returns a budget: share is retries per success, floor is the retries a
+// NewBudget returns a budget. share is the number of retries per success; floor is the number of retries a
 // second that are always allowed, so that an idle service can retry at all.
 func NewBudget(share, floor float64) *Budget {
 	limit := 10 + 10*floor
 	return &Budget{share: share, floor: floor, limit: limit, tokens: limit / 2}
 }
 
-// Success tells of a request that succeeded.
+// Success records a successful request.
 func (b *Budget) Success() { b.tokens = min(b.limit, b.tokens+b.share) }
 
-// Take spends one retry, or says that there is none left.
+// Take spends one retry. It returns false if none is left.
 func (b *Budget) Take(now time.Duration) bool {
 	if now > b.updated {
 		b.tokens = min(b.limit, b.tokens+b.floor*(now-b.updated).Seconds())
@@ -42,40 +41,40 @@
 	return true
 }
 
-// Attempt is what is known of a request whose last attempt has failed.
+// Attempt describes a request whose latest attempt failed.
 type Attempt struct {
-	Repeatable  bool // it may run again after it may have run
-	MayHaveRun  bool // some attempt of it may have
-	Sent        int  // attempts that count
-	MaxSent     int  // of these, at most
+	Repeatable  bool // may be executed a second time
+	MayHaveRun  bool // an earlier attempt may have been executed
+	Sent        int  // attempts so far that count towards MaxSent
+	MaxSent     int  // maximum of Sent
 	TimeLeft    time.Duration
-	MinTimeLeft time.Duration // time left that makes another attempt worth its cost
+	MinTimeLeft time.Duration // minimum TimeLeft for which another attempt is worth its cost
 }
 
 // Verdict is what to do after a failed attempt.
 type Verdict int
 
-// The verdicts.
+// Verdicts of Decide.
 const (
 	VerdictRetry   Verdict = iota
-	VerdictNotRun          // give up; nothing ran
-	VerdictUnknown         // give up; it may have run
+	VerdictNotRun          // give up; the request was not executed
+	VerdictUnknown         // give up; the request may have been executed
 )
 
-// Reason is why a request isn't tried again.
+// Reason is why a request is not retried.
 type Reason int
 
-// The reasons.
+// Reasons of Decide.
 const (
 	ReasonNone          Reason = iota
-	ReasonDeadline             // the time for an answer is over, or nearly so
-	ReasonNotRepeatable        // it may have run and may not run twice
-	ReasonAttempts             // it has had as many as it may
-	ReasonBudget               // the budget is spent
+	ReasonDeadline             // too little time is left for a response
+	ReasonNotRepeatable        // it may have been executed and is not repeatable
+	ReasonAttempts             // the maximum number of attempts was made
+	ReasonBudget               // the retry budget is spent
 )
 
-// Decide says what follows a failed attempt. take spends one retry of whatever budget there
-// is, if everything else allows it.
+// Decide returns what to do after a failed attempt. take spends one retry of the budget in use; it is
+// called only if everything else allows a retry.
 func Decide(a Attempt, take func() bool) (Verdict, Reason) {
 	why := ReasonNone
 	switch {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,14 +17,14 @@
 		want Verdict
 		why  Reason
 	}{
-		{"nothing ran", Attempt{Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
-		{"may have run, may not be repeated", Attempt{MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictUnknown, ReasonNotRepeatable},
-		{"may have run, may be repeated", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
-		{"too often", Attempt{Sent: 4, TimeLeft: left}, VerdictNotRun, ReasonAttempts},
-		{"too often, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 4, TimeLeft: left}, VerdictUnknown, ReasonAttempts},
+		{"not executed", Attempt{Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
+		{"may have run, not repeatable", Attempt{MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictUnknown, ReasonNotRepeatable},
+		{"may have run, repeatable", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
+		{"too many attempts", Attempt{Sent: 4, TimeLeft: left}, VerdictNotRun, ReasonAttempts},
+		{"too many attempts, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 4, TimeLeft: left}, VerdictUnknown, ReasonAttempts},
 		{"too late", Attempt{Sent: 1, TimeLeft: time.Millisecond}, VerdictNotRun, ReasonDeadline},
 		{"too late, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonDeadline},
-		{"too late, may not be repeated", Attempt{MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonDeadline},
+		{"too late, not repeatable", Attempt{MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonDeadline},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 			}
 		})
 	}
-	t.Run("what isn't tried again costs no budget", func(t *testing.T) {
-		_, _ = Decide(Attempt{MaxSent: 4}, func() bool { t.Error("taken"); return true })
+	t.Run("a request that is not retried spends no budget", func(t *testing.T) {
+		_, _ = Decide(Attempt{MaxSent: 4}, func() bool { t.Error("a retry was spent"); return true })
 	})
 }
 
@@ -56,12 +56,12 @@
 	}
 	assert.True(t, b.Take(0))
 	assert.True(t, b.Take(0))
-	assert.False(t, b.Take(0), "two for twenty successes")
-	assert.True(t, b.Take(time.Second), "one a second in any case")
+	assert.False(t, b.Take(0), "20 successes pay for 2 retries")
+	assert.True(t, b.Take(time.Second), "the floor allows one retry a second")
 }
 
-// TestOutliersLeaveMostOfThePool: whatever happens, no more than the share is out, and
-// nobody is out for good.
+// TestOutliersLeaveMostOfThePool checks that any sequence of results ejects at most the allowed share of
+// the pool, and that no upstream stays ejected forever.
 func TestOutliersLeaveMostOfThePool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 6
@@ -92,7 +92,7 @@
 		}
 		now += time.Hour
 		for i := 0; i < size; i++ {
-			assert.True(t, o.Usable(now, fmt.Sprint(i)), "after long enough each may be probed")
+			assert.True(t, o.Usable(now, fmt.Sprint(i)), "every ejection ends")
 		}
 	})
 }
--- a/internal/retry/tries.go
+++ b/internal/retry/tries.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// SearchLimit bounds the upstreams that one request looks at.
+// SearchLimit bounds the number of upstreams that one request tries.
 //
-// One that turns the request away has cost it a way there and back, and work at an upstream that has none
-// to spare, so these are bounded by number. One that has ended refuses the connection at once. Where many
-// have ended together the list names them until their entries lapse; a request that counted them like the
-// others is refused within milliseconds while there are upstreams that would take it. They are
-// bounded by the time that was lost on them, and a node that has found one dead goes there no more in such
-// a search, so that a pool that is dead as a whole costs a node a connection for each upstream and second, and not for
-// each request.
+// An upstream that rejects a request costs it a round trip, and costs an overloaded upstream some work, so
+// these are limited by number. An upstream whose process has ended refuses the connection at once. When
+// many upstreams end together, the list contains them until their entries lapse, and counting them like
+// the others would fail a request within milliseconds while other upstreams could take it. They are
+// limited by the time lost on them instead. Beyond the first upstreams, a search skips those that this
+// node recently found unreachable, so a pool that is down as a whole costs a node one connection per
+// upstream and second, not per request.
 //
-// Weighed: a larger number for all. A hall that is cut off costs the time-out of a connection at each
-// of its upstreams, and the caller would be told late what is known after a few.
+// Alternatives considered: a larger number for all upstreams. In a partition each upstream of the other
+// hall costs a connection time-out, and the caller would get late what is known after a few attempts.
 type SearchLimit struct {
-	reached     int // upstreams that were reached and didn't take it, in vain either way
-	unreachable int // upstreams that couldn't be reached
+	reached     int // upstreams that were reached but did not accept the request
+	unreachable int // upstreams that could not be reached
 	timeLost    time.Duration
 }
 
 const (
-	// triesMost is the upstreams that are looked at whatever is known of them.
+	// maxUpstreams is the number of upstreams that are tried unconditionally.
 	maxUpstreams = 5
-	// lostMost is the time that a request spends, beyond these tries, on finding upstreams that are
-	// dead: some round trips between halls, and less than the time-out of one connection.
+	// maxTimeLost is the time that a request may lose on unreachable upstreams before attempts beyond
+	// maxUpstreams end: a few round trips between halls, and less than one connection time-out.
 	maxTimeLost = 100 * time.Millisecond
 )
 
-// SearchScope is where the next try may go.
+// SearchScope is the set of upstreams that the next attempt may go to.
 type SearchScope int
 
-// The searches.
+// Scopes of a search.
 const (
-	ScopeAll       SearchScope = iota // to any upstream
-	ScopeReachable                    // to one that this node hasn't failed to reach lately
-	ScopeNone                         // to none
+	ScopeAll       SearchScope = iota // any upstream
+	ScopeReachable                    // upstreams that this node has not recently failed to reach
+	ScopeNone                         // no upstream
 )
 
-// RecordReached notes an upstream that was reached.
-func (t *SearchLimit) RecordReached() { t.reached++ }
+// RecordReached records an upstream that was reached.
+func (s *SearchLimit) RecordReached() { s.reached++ }
 
-// RecordUnreachable notes an upstream that couldn't be reached, which took that long to find out.
-func (t *SearchLimit) RecordUnreachable(took time.Duration) {
-	t.unreachable++
-	t.timeLost += took
+// RecordUnreachable records an upstream that could not be reached, and the time that it took to find out.
+func (s *SearchLimit) RecordUnreachable(took time.Duration) {
+	s.unreachable++
+	s.timeLost += took
 }
 
 // Reached returns how many upstreams were reached.
-func (t *SearchLimit) Reached() int { return t.reached }
+func (s *SearchLimit) Reached() int { return s.reached }
 
-// Next returns where the next try may go.
-func (t *SearchLimit) Next() SearchScope {
+// Next returns the scope of the next attempt.
+func (s *SearchLimit) Next() SearchScope {
 	switch {
-	case t.reached+t.unreachable < maxUpstreams:
+	case s.reached+s.unreachable < maxUpstreams:
 		return ScopeAll
-	case t.reached < maxUpstreams && t.unreachable > 0 && t.timeLost < maxTimeLost:
+	case s.reached < maxUpstreams && s.unreachable > 0 && s.timeLost < maxTimeLost:
 		return ScopeReachable
 	}
 	return ScopeNone
--- a/internal/retry/turns.go
+++ b/internal/retry/turns.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// MaxReturnSpread bounds how much later than the end of the rest a caller is told to come: few callers have longer to
-// wait for, and how long requests last is a guess. More turns than it holds begin again at its start, so that
-// those beyond it come evenly, too, and not all at its end.
+// MaxReturnSpread bounds how long after the end of a cooldown callers are told to return: few callers can
+// wait longer, and the duration of requests is an estimate. Return times beyond it wrap around to the end
+// of the cooldown, so that these callers are spread evenly, too, instead of all returning at the bound.
 const MaxReturnSpread = 5 * time.Second
 
-// ReturnSchedule is when callers may come back that are turned away while no upstream of a service takes anything: all rest,
-// or have had what they take.
+// ReturnSchedule assigns return times to callers that are rejected while no upstream of a service accepts
+// requests, because all are in a cooldown or have used up their limits.
 //
-// The load that it answers: for some seconds all that comes is turned away, at each node. Told the end of
-// the rest, all would be there in one moment; most find no place and wait behind each other, and with them
-// whoever comes anew. So each is told the moment at which its
-// turn is: as many as there are places come at once, the others at the pace at which requests end. A node goes by
-// its share of both, since it can't ask the others before it answers.
+// Every node rejects all its requests for some seconds in that case. If all callers were told the end of
+// the cooldown, they would return at the same moment; most would find no free slot and queue up, and delay
+// new requests. Instead, as many callers as there are free slots return at the end of the cooldown, the
+// others at the rate at which requests finish. A node uses its own share of the slots and of the rate,
+// since it cannot ask the other nodes before it responds.
 type ReturnSchedule struct {
 	next time.Time
 }
 
-// Next returns how long the next caller is to stay away, given the time until the first upstream takes something,
-// the places that there are then, and the requests a second that there is room for from then on.
-func (t *ReturnSchedule) Next(now time.Time, rest time.Duration, places, perSecond float64) time.Duration {
+// Next returns how long the next caller must wait before it returns. cooldown is the time until the first
+// upstream accepts requests; slots is how many requests can start then, and perSecond the rate at which
+// more can start from then on.
+func (s *ReturnSchedule) Next(now time.Time, cooldown time.Duration, slots, perSecond float64) time.Duration {
 	if perSecond <= 0 {
-		return rest
+		return cooldown
 	}
-	end := now.Add(rest)
+	end := now.Add(cooldown)
 	pace := time.Duration(float64(time.Second) / perSecond)
-	if t.next.Before(end) {
-		t.next = end
+	if s.next.Before(end) {
+		s.next = end
 	}
-	at := t.next.Add(-time.Duration(max(0, places-1)) * pace) // as many as there are places come at once
-	t.next = t.next.Add(pace)
-	return rest + max(0, at.Sub(end))%MaxReturnSpread
+	at := s.next.Add(-time.Duration(max(0, slots-1)) * pace) // one caller per slot returns at once
+	s.next = s.next.Add(pace)
+	return cooldown + max(0, at.Sub(end))%MaxReturnSpread
 }
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Window bounds repeats against first sends in every span of a given length, as an
-// operator states it: at most ratio x firsts + extra. It is one node's part of a
-// bound that holds over all nodes together, and it needs nobody else for that: each
-// node keeps to the ratio of its own firsts and to its share of the extra, and so
-// does the sum.
+// Window bounds the retries in every time span of a given length, as operators configure it: at most ratio
+// x firsts + extra, where firsts are requests sent for the first time. The bound holds over all nodes
+// together without coordination: if each node keeps to the ratio of its own firsts and to its share of
+// extra, so does the sum.
 //
-// Sliding spans are kept by slots of a tenth of the span. A slot counts as long as any
-// instant of it lies in the span for repeats, and only once it lies wholly in it for
-// firsts, so the rounding errs on the safe side both times.
+// The sliding span is approximated by slots of a tenth of it. A retry counts as long as any part of its
+// slot lies in the span, a first only while its slot lies wholly in the span, so that both rounding errors
+// make the bound stricter.
 type Window struct {
 	ratio   float64
 	extra   float64
@@ -25,12 +24,12 @@
 	windowSlots = spanSlots + 1
 )
 
-// NewWindow returns a window. extra is this node's part.
+// NewWindow returns a window. extra is this node's share of the extra retries.
 func NewWindow(ratio, extra float64, span time.Duration) *Window {
 	return &Window{ratio: ratio, extra: extra, slot: max(1, span/spanSlots)}
 }
 
-// SetExtra changes this node's part of the extra.
+// SetExtra changes this node's share of the extra retries.
 func (w *Window) SetExtra(a float64) { w.extra = a }
 
 func (w *Window) advance(now time.Duration) int {
@@ -46,10 +45,10 @@
 	return int(w.newest % windowSlots)
 }
 
-// First notes a request sent for the first time.
+// First records a request sent for the first time.
 func (w *Window) First(now time.Duration) { w.firsts[w.advance(now)]++ }
 
-// Take spends one repeat, or says that none is left.
+// Take spends one retry. It returns false if none is left.
 func (w *Window) Take(now time.Duration) bool {
 	at := w.advance(now)
 	firsts, repeats := 0.0, 0.0
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowHoldsInEverySpan draws sends at any times and checks the bound in every span
-// that ends at a repeat.
+// TestWindowHoldsInEverySpan sends requests at random times and checks the bound in every span that ends
+// at a retry.
 func TestWindowHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * time.Second
