--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -289,7 +289,7 @@
 	fresh := tried.bound.Next() == retry.ScopeReachable
 	for i := range p.cands {
 		c, f := &p.cands[i], &p.list[i]
-		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Remaining(at, retry.Incarnation{ID: c.ID}) > 0
+		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Wait(at, retry.Incarnation{ID: c.ID}) > 0
 		c.LoadAge = at.Sub(f.At)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
 		if v := p.flights[c.ID]; v != nil {
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -24,7 +24,7 @@
 		list[i] = retry.Incarnation{ID: p.list[i].ID}
 	}
 	now, after := p.d.o.Clock.Now(), returnsAfter
-	if rest := p.rests.ShortestRemaining(now, list); rest > 0 {
+	if rest := p.rests.ShortestWait(now, list); rest > 0 {
 		slots, perSecond := p.admission.Room()
 		after = p.turns.Next(now, rest, slots, perSecond)
 	}
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -22,7 +22,7 @@
 		}
 		l := m.entry.Incarnation()
 		rate, limited := p.limits.Rate(now, l)
-		wait := p.cooldowns.Remaining(now, l)
+		wait := p.cooldowns.Wait(now, l)
 		if limited {
 			wait = max(wait, p.limits.Wait(now, l, s.size.Slots > 0))
 		}
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -205,8 +205,8 @@
 	l.Delete(now, id)
 }
 
-// MarkUnreadable records that an entry can't be read from a revision on: whoever wrote it, its key lists
-// no upstream until a valid entry is written. What was known of the upstream is kept.
+// MarkUnreadable records that an entry can't be read from a revision on: regardless of its writer, its key
+// lists no upstream until a valid entry is written. What was known of the upstream is kept.
 func (l *List) MarkUnreadable(revision int64, id string) {
 	l.change = max(l.change, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -123,7 +123,7 @@
 	for _, m := range p.services[n.Service] {
 		takes, fallback := p.serves(now, m, n)
 		switch {
-		case m.entry.Leaving || m.misplaced || n.Excluded[m.entry.ID] || p.cooldowns.Remaining(now, m.entry.Incarnation()) > 0:
+		case m.entry.Leaving || m.misplaced || n.Excluded[m.entry.ID] || p.cooldowns.Wait(now, m.entry.Incarnation()) > 0:
 		case n.ReachableOnly && now.Sub(m.failedAt) < unreachableTTL:
 		case n.placed != m.entry.ID && p.limits.Wait(now, m.entry.Incarnation(), n.Engine) > 0:
 			limited++
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, l, engine := p.clock.Now(), e.Incarnation(), p.service(e.Service).size.Slots > 0
-	if p.cooldowns.Remaining(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
+	if p.cooldowns.Wait(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
 		return false
 	}
 	p.limits.Take(now, l, engine)
--- a/internal/pool/state.go
+++ b/internal/pool/state.go
@@ -42,7 +42,7 @@
 
 func (p *Pools) state(now time.Time, m *member) State {
 	l := m.entry.Incarnation()
-	s := State{Entry: m.entry, Misplaced: m.misplaced, Cooldown: p.cooldowns.Remaining(now, l), Slowness: m.pace.slowness(now), UnreachableAge: -1, Running: m.load.Running}
+	s := State{Entry: m.entry, Misplaced: m.misplaced, Cooldown: p.cooldowns.Wait(now, l), Slowness: m.pace.slowness(now), UnreachableAge: -1, Running: m.load.Running}
 	if w, share, named := p.limits.Look(now, l); named {
 		s.Limited, s.Rate, s.LimitAge, s.Share = true, w.Rate, now.Sub(w.At), share
 	}
--- a/internal/retry/rests.go
+++ b/internal/retry/rests.go
@@ -41,17 +41,15 @@
 // have the same identity.
 func (c *Cooldowns) Forget(i Incarnation) { delete(c.until, i) }
 
-// Remaining returns how long an upstream must not be sent requests; 0 if it may be sent one now.
-func (c *Cooldowns) Remaining(now time.Time, i Incarnation) time.Duration {
-	return max(0, c.until[i].Sub(now))
-}
+// Wait returns how long an upstream must not be sent requests; 0 if it may be sent one now.
+func (c *Cooldowns) Wait(t time.Time, i Incarnation) time.Duration { return max(0, c.until[i].Sub(t)) }
 
-// ShortestRemaining returns the time until the first of the listed upstreams may be sent requests. It is 0
+// ShortestWait returns the time until the first of the listed upstreams may be sent requests. It is 0
 // if one may be now, or if the list is empty.
-func (c *Cooldowns) ShortestRemaining(now time.Time, list []Incarnation) time.Duration {
+func (c *Cooldowns) ShortestWait(now time.Time, list []Incarnation) time.Duration {
 	least := time.Duration(0)
 	for _, i := range list {
-		d := c.Remaining(now, i)
+		d := c.Wait(now, i)
 		if d == 0 {
 			return 0
 		}
--- a/internal/retry/rests_test.go
+++ b/internal/retry/rests_test.go
@@ -13,24 +13,24 @@
 	t.Run("until they end", func(t *testing.T) {
 		r := NewCooldowns()
 		assert.True(t, r.Start(now, a, 3*time.Second))
-		assert.Equal(t, 3*time.Second, r.Remaining(now, a))
-		assert.Equal(t, time.Nanosecond, r.Remaining(now.Add(3*time.Second-1), a))
-		assert.Zero(t, r.Remaining(now.Add(3*time.Second), a))
-		assert.Zero(t, r.Remaining(now, Incarnation{ID: "a", Born: 2}), "cooldowns do not apply to the next incarnation")
+		assert.Equal(t, 3*time.Second, r.Wait(now, a))
+		assert.Equal(t, time.Nanosecond, r.Wait(now.Add(3*time.Second-1), a))
+		assert.Zero(t, r.Wait(now.Add(3*time.Second), a))
+		assert.Zero(t, r.Wait(now, Incarnation{ID: "a", Born: 2}), "cooldowns do not apply to the next incarnation")
 	})
 	t.Run("a shorter cooldown does not replace a longer one", func(t *testing.T) {
 		r := NewCooldowns()
 		r.Start(now, a, 3*time.Second)
 		assert.False(t, r.Start(now, a, time.Second), "the upstream had a cooldown already")
-		assert.Equal(t, 3*time.Second, r.Remaining(now, a))
+		assert.Equal(t, 3*time.Second, r.Wait(now, a))
 	})
-	t.Run("shortest remaining", func(t *testing.T) {
+	t.Run("shortest wait", func(t *testing.T) {
 		r := NewCooldowns()
-		assert.Zero(t, r.ShortestRemaining(now, nil))
+		assert.Zero(t, r.ShortestWait(now, nil))
 		r.Start(now, a, 3*time.Second)
-		assert.Zero(t, r.ShortestRemaining(now, []Incarnation{a, b}))
+		assert.Zero(t, r.ShortestWait(now, []Incarnation{a, b}))
 		r.Start(now, b, 2*time.Second)
-		assert.Equal(t, 2*time.Second, r.ShortestRemaining(now, []Incarnation{a, b}))
+		assert.Equal(t, 2*time.Second, r.ShortestWait(now, []Incarnation{a, b}))
 	})
 	t.Run("expired cooldowns are deleted", func(t *testing.T) {
 		r := NewCooldowns()
