--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -17,7 +17,7 @@
 // an entry may be older than the statement.
 //
 // Leaving is recorded in the list, like the store's own data, and is propagated with the list: to the
-// nodes of the hall that ask this one, and to the ordering of upstreams. A cooldown applies to one node,
+// nodes of the hall that ask this one, and to the code that orders new upstreams. A cooldown applies to one node,
 // for the requests it sent, and stays there (retry.Cooldowns). A limit applies to all nodes together, and
 // they share it (package limit).
 
