--- a/internal/pool/incarnation.go
+++ b/internal/pool/incarnation.go
@@ -98,5 +98,5 @@
 // wasAbsent reports whether an entry was absent for longer than that of a running upstream may be. During
 // an outage of the store no upstream can write; running ones write again soon after it.
 func (l *List) wasAbsent(v dropped) bool {
-	return l.now.Sub(v.at) >= lapseGrace && !l.now.Before(l.trust)
+	return l.now.Sub(v.at) >= lapseGrace && !l.now.Before(l.graceUntil)
 }
--- a/internal/pool/incarnation_test.go
+++ b/internal/pool/incarnation_test.go
@@ -49,7 +49,7 @@
 
 // TestIncarnations checks which entries count as a new incarnation under an old id.
 func TestIncarnations(t *testing.T) {
-	listed := func(l *List) Entry {
+	current := func(l *List) Entry {
 		var e Entry
 		l.Items(func(v Item) { e = v.Entry })
 		return e
@@ -58,15 +58,15 @@
 		l := NewList()
 		l.Put(incarnationAt(1, 1, true))
 		l.Put(incarnationAt(2, 2, false))
-		assert.False(t, listed(l).Leaving)
+		assert.False(t, current(l).Leaving)
 	})
 	t.Run("a late write of the previous incarnation", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, false))
 		l.Put(incarnationAt(2, 2, false))
 		l.Put(incarnationAt(1, 3, true))
-		assert.Equal(t, int64(2), listed(l).Born)
-		assert.False(t, listed(l).Leaving)
+		assert.Equal(t, int64(2), current(l).Born)
+		assert.False(t, current(l).Leaving)
 	})
 	t.Run("also after the entry was deleted", func(t *testing.T) {
 		l := NewList()
@@ -85,13 +85,13 @@
 		for i := range int64(maxLateWrites + 1) {
 			l.Put(incarnationAt(2, 4+i, false))
 		}
-		assert.Equal(t, int64(2), listed(l).Born)
+		assert.Equal(t, int64(2), current(l).Born)
 	})
 	t.Run("an entry without a start time is of the listed incarnation", func(t *testing.T) {
 		l := NewList()
 		l.Put(incarnationAt(1, 1, true))
 		l.Put(incarnationAt(0, 2, false))
-		assert.True(t, listed(l).Leaving)
+		assert.True(t, current(l).Leaving)
 	})
 	t.Run("the number of remembered incarnations is bounded", func(t *testing.T) {
 		l := NewList()
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -59,9 +59,9 @@
 	dropped    map[string]dropped           // by id: dropped entries as last listed
 	ended      map[string]bool              // ids of which an incarnation has ended since the last takeEnded
 	revision   int64
-	change     int64     // revision of the newest change applied
+	lastChange int64     // revision of the newest change applied
 	now        time.Time // time of the latest update or expiry
-	trust      time.Time // entries that disappear before this time are kept as missing
+	graceUntil time.Time // entries that disappear before this time are kept as missing
 }
 
 // NewList returns an empty list.
@@ -73,7 +73,7 @@
 func (l *List) Revision() int64 { return l.revision }
 
 // LastChange returns the store's revision of the newest change that was applied.
-func (l *List) LastChange() int64 { return l.change }
+func (l *List) LastChange() int64 { return l.lastChange }
 
 // Len returns the number of entries, missing ones included.
 func (l *List) Len() int { return len(l.items) }
@@ -88,7 +88,7 @@
 }
 
 // StoreReturned records that the store responds again after an outage.
-func (l *List) StoreReturned(now time.Time) { l.now, l.trust = now, now.Add(lapseGrace) }
+func (l *List) StoreReturned(now time.Time) { l.now, l.graceUntil = now, now.Add(lapseGrace) }
 
 // Replace applies a complete list that was read at a revision. It does nothing if the current list is
 // newer.
@@ -129,16 +129,16 @@
 
 // pastIncarnation is an incarnation that was followed by another one.
 type pastIncarnation struct {
-	born   int64
-	newest int64 // revision of its newest write
-	late   int   // number of writes since the next incarnation's first
+	born           int64
+	newestRevision int64 // revision of its newest write
+	lateWrites     int   // number of writes since the next incarnation's first
 }
 
 // Put applies one entry, unless a newer one is listed. Of two incarnations, the one that was written later
 // is the newer: start times are by the time of day, which may be set back. An incarnation that was
 // followed by another has ended, though one of its writes may arrive late.
 func (l *List) Put(v Item) {
-	l.change = max(l.change, v.Revision)
+	l.lastChange = max(l.lastChange, v.Revision)
 	e := &v.Entry
 	old, ok := l.items[e.ID]
 	if ok && old.Revision > v.Revision || l.unreadable[e.ID] > v.Revision || l.isLate(v) || !ok && l.isFromOlderCopy(v) {
@@ -168,11 +168,11 @@
 		return false
 	}
 	p := &list[i]
-	if v.Revision > p.newest {
-		p.newest = v.Revision
-		p.late++
+	if v.Revision > p.newestRevision {
+		p.newestRevision = v.Revision
+		p.lateWrites++
 	}
-	if p.late <= maxLateWrites {
+	if p.lateWrites <= maxLateWrites {
 		return true
 	}
 	l.past[v.Entry.ID] = slices.Delete(list, i, i+1)
@@ -187,7 +187,7 @@
 		clear(l.past)
 	}
 	p := l.past[id]
-	l.past[id] = append(p[max(0, len(p)-maxPastIncarnations+1):], pastIncarnation{born: old.Entry.Born, newest: old.Revision})
+	l.past[id] = append(p[max(0, len(p)-maxPastIncarnations+1):], pastIncarnation{born: old.Entry.Born, newestRevision: old.Revision})
 }
 
 // takeEnded returns the ids of which an incarnation has ended since the last call. The entries alone do
@@ -201,14 +201,14 @@
 
 // Remove applies the deletion of an entry at a revision.
 func (l *List) Remove(now time.Time, revision int64, id string) {
-	l.change = max(l.change, revision)
+	l.lastChange = max(l.lastChange, revision)
 	l.Delete(now, id)
 }
 
 // MarkUnreadable records that an entry can't be read from a revision on: regardless of its writer, its key
 // lists no upstream until a valid entry is written. What was known of the upstream is kept.
 func (l *List) MarkUnreadable(revision int64, id string) {
-	l.change = max(l.change, revision)
+	l.lastChange = max(l.lastChange, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
 		l.unreadable[id] = revision
 	}
@@ -220,9 +220,9 @@
 	if _, ok := l.items[id]; !ok {
 		return
 	}
-	if now.Before(l.trust) {
+	if now.Before(l.graceUntil) {
 		if _, ok := l.missing[id]; !ok {
-			l.missing[id] = l.trust
+			l.missing[id] = l.graceUntil
 		}
 		return
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -278,8 +278,8 @@
 	return o
 }
 
-// oldest returns the age of the oldest report that still counts.
-func (p *Pools) oldest(now time.Time) time.Duration {
+// oldestReport returns the age of the oldest report that still counts.
+func (p *Pools) oldestReport(now time.Time) time.Duration {
 	d := time.Duration(0)
 	for name, v := range p.reports {
 		if age := now.Sub(v.at); age <= peerReportTTL && !p.covers(now, name) {
--- a/internal/pool/statement.go
+++ b/internal/pool/statement.go
@@ -17,9 +17,9 @@
 // an entry may be older than the statement.
 //
 // Leaving is recorded in the list, like the store's own data, and is propagated with the list: to the
-// nodes of the hall that ask this one, and to the code that orders new upstreams. A cooldown applies to one node,
-// for the requests it sent, and stays there (retry.Cooldowns). A limit applies to all nodes together, and
-// they share it (package limit).
+// nodes of the hall that ask this one, and to the code that orders new upstreams. A cooldown applies to
+// one node, for the requests it sent, and stays there (retry.Cooldowns). A limit applies to all nodes
+// together, and they share it (package limit).
 
 // Incarnation identifies the incarnation that the entry is of.
 func (e Entry) Incarnation() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -26,7 +26,7 @@
 	output       float64       // maximum number of output tokens
 	rank         int           // among the upstreams of a roll-out's target; notRanked: not one of them
 	onTrial      bool          // of a version on trial: not representative of the service's upstreams
-	fetch        string        // address of the upstream that it fetches cached parts from
+	fetchFrom    string        // address of the upstream that it fetches cached parts from
 	work         capacity.Work // counted as sent
 	firstEventAt time.Time
 	started      bool
@@ -67,7 +67,7 @@
 
 // Fetch returns the address of the upstream that has more of the prompt cached, if the chosen one should
 // fetch it from there.
-func (u *Use) Fetch() string { return u.fetch }
+func (u *Use) Fetch() string { return u.fetchFrom }
 
 // Leaving reports whether the upstream has announced that it leaves, or is no longer listed, so that its
 // end is planned.
@@ -84,7 +84,7 @@
 func (u *Use) Started() {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
-	u.start()
+	u.markStarted()
 	u.firstEventAt = u.p.clock.Now()
 	u.p.lastResponse[u.entry.Hall], u.m.respondedAt = u.firstEventAt, u.firstEventAt
 	after := u.firstEventAt.Sub(u.sentAt)
@@ -92,7 +92,7 @@
 	s := u.p.service(u.entry.Service)
 	switch {
 	case u.onTrial:
-	case u.engine && u.fetch == "":
+	case u.engine && u.fetchFrom == "":
 		s.learner.First(u.firstEventAt, u.reads, after)
 	case !u.engine:
 		s.responseMs += responseGain * (ms - s.responseMs)
@@ -124,7 +124,7 @@
 	u.p.service(u.entry.Service).observeLag(float64(after)/float64(time.Millisecond) - u.expectedMs)
 }
 
-func (u *Use) start() {
+func (u *Use) markStarted() {
 	if u.started {
 		return
 	}
@@ -142,13 +142,13 @@
 		return
 	}
 	u.ended = true
-	u.start()
+	u.markStarted()
 	if r == ResultGood {
 		u.observeDuration()
 	}
 	u.m.load.Running--
 	u.m.load.Reserved -= u.reserved
-	u.judge(r)
+	u.recordResult(r)
 }
 
 // observeDuration records how long a successful request took.
@@ -163,9 +163,9 @@
 // addWork adds work that is sent, less earlier work that was counted but not executed. The sum never
 // decreases, since a decrease would be taken for the start of a new process.
 func (s *service) addWork(w capacity.Work) {
-	less := func(work, untaken *float64, x float64) {
-		d := min(x, *untaken)
-		*untaken -= d
+	less := func(work, notExecuted *float64, x float64) {
+		d := min(x, *notExecuted)
+		*notExecuted -= d
 		*work += x - d
 	}
 	less(&s.work.Reading, &s.notExecuted.Reading, w.Reading)
@@ -173,7 +173,7 @@
 	less(&s.work.Memory, &s.notExecuted.Memory, w.Memory)
 }
 
-func (u *Use) judge(r Result) {
+func (u *Use) recordResult(r Result) {
 	if u.countedLimit && (r == ResultUnreachable || r == ResultMisplaced) {
 		u.p.limits.Return(u.entry.Incarnation())
 	}
--- a/internal/retry/outlier.go
+++ b/internal/retry/outlier.go
@@ -20,10 +20,10 @@
 }
 
 type health struct {
-	state     *chart.Life
-	failures  int
-	ejections int // consecutive ejections
-	until     time.Duration
+	state        *chart.Life
+	failures     int
+	ejections    int // consecutive ejections
+	ejectedUntil time.Duration
 }
 
 // NewOutliers returns the health of a pool of which at most maxShare may be ejected.
@@ -50,7 +50,7 @@
 	if h == nil || h.state.Is("live") {
 		return true
 	}
-	if h.state.Is("ejected") && now >= h.until {
+	if h.state.Is("ejected") && now >= h.ejectedUntil {
 		return true
 	}
 	return false
@@ -89,7 +89,7 @@
 	h := o.health[id]
 	if h != nil && h.state.Is("probing") {
 		_ = h.state.Fire("unclear")
-		h.until = now
+		h.ejectedUntil = now
 	}
 }
 
@@ -108,7 +108,7 @@
 	_ = h.state.Fire("eject")
 	d := min(o.firstEjection<<min(h.ejections, 6), o.maxEjection)
 	h.ejections++
-	h.until = now + d
+	h.ejectedUntil = now + d
 	return true
 }
 
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -11,12 +11,12 @@
 // slot lies in the span, a first only while its slot lies wholly in the span, so that both rounding errors
 // make the bound stricter.
 type Window struct {
-	ratio   float64
-	extra   float64
-	slot    time.Duration
-	firsts  [windowSlots]float64
-	repeats [windowSlots]float64
-	newest  int64 // number of the newest slot
+	ratio      float64
+	extra      float64
+	slotLength time.Duration
+	firsts     [windowSlots]float64
+	repeats    [windowSlots]float64
+	newest     int64 // number of the newest slot
 }
 
 const (
@@ -26,14 +26,14 @@
 
 // NewWindow returns a window. extra is this node's share of the extra retries.
 func NewWindow(ratio, extra float64, span time.Duration) *Window {
-	return &Window{ratio: ratio, extra: extra, slot: max(1, span/spanSlots)}
+	return &Window{ratio: ratio, extra: extra, slotLength: max(1, span/spanSlots)}
 }
 
 // SetExtra changes this node's share of the extra retries.
 func (w *Window) SetExtra(a float64) { w.extra = a }
 
 func (w *Window) advance(now time.Duration) int {
-	n := int64(now / w.slot)
+	n := int64(now / w.slotLength)
 	if n-w.newest > windowSlots {
 		w.newest = n - windowSlots
 	}
