--- a/internal/pool/learn.go
+++ b/internal/pool/learn.go
@@ -6,19 +6,19 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file is what the pools know of their services' engines: what this node has learned,
-// joined with what others have.
+// This file holds what is known of the services' engines: what this node has learned, merged with what
+// other nodes report.
 
 // engine returns what is known of a service's engines.
 func (p *Pools) engine(now time.Time, name string) capacity.Engine {
 	s := p.service(name)
-	if now.Sub(s.merged) < mergeEvery {
+	if now.Sub(s.mergedAt) < mergeEvery {
 		return s.engine
 	}
-	s.merged = now
+	s.mergedAt = now
 	all := []capacity.Engine{s.learner.Engine(now)}
-	for _, v := range p.peers {
-		if e, ok := v.engines[name]; ok && now.Sub(v.at) <= peerKeeps {
+	for _, v := range p.reports {
+		if e, ok := v.engines[name]; ok && now.Sub(v.at) <= peerReportTTL {
 			all = append(all, e)
 		}
 	}
@@ -35,14 +35,14 @@
 	return p.engine(p.clock.Now(), service)
 }
 
-// Recall takes in what processes that are gone have learned of a service's engines. It
-// counts until this node, or one that it hears, has learned anew.
-func (p *Pools) Recall(service string, e capacity.Engine) {
+// RestoreEngine sets what earlier processes learned of a service's engines. It is used until this node, or
+// a node that reports to it, has learned new values.
+func (p *Pools) RestoreEngine(service string, e capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(service)
 	s.learner.Recall(e)
-	s.merged = time.Time{}
+	s.mergedAt = time.Time{}
 }
 
 // Learned returns what this node itself has learned, by service.
@@ -51,7 +51,7 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	r := make(map[string]capacity.Engine)
-	for name, s := range p.known {
+	for name, s := range p.serviceStats {
 		if e := s.learner.Engine(now); e.Reading > 0 || e.Token > 0 {
 			r[name] = e
 		}
@@ -59,12 +59,12 @@
 	return r
 }
 
-// Work returns what was sent to the engines of each service since the start.
+// Work returns the work that was sent to the engines of each service since the start of the process.
 func (p *Pools) Work() map[string]capacity.Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := make(map[string]capacity.Work)
-	for name, s := range p.known {
+	for name, s := range p.serviceStats {
 		if s.work != (capacity.Work{}) {
 			r[name] = s.work
 		}
--- a/internal/pool/report_test.go
+++ b/internal/pool/report_test.go
@@ -10,8 +10,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// known returns pools that know of so many prefixes at each of some upstreams.
-func known(c *timer.Manual, upstreams, prefixes int) *Pools {
+// poolsWithPrefixes returns pools that know of the given number of prefixes at each of several upstreams.
+func poolsWithPrefixes(c *timer.Manual, upstreams, prefixes int) *Pools {
 	p := New(c.Service(), "self", "a")
 	p.Update(func(l *List) {
 		for i := 0; i < upstreams; i++ {
@@ -22,14 +22,15 @@
 	for i := 0; i < upstreams*prefixes; i++ {
 		placed = append(placed, Placement{Prefix: uint64(i), Upstream: fmt.Sprint("u", i%upstreams)})
 	}
-	p.TakeShares(nil, nil, placed)
+	p.ApplyPeerLoads(nil, nil, placed)
 	return p
 }
 
-// TestForgottenPrefixes: what isn't believed any more doesn't stay in memory.
-func TestForgottenPrefixes(t *testing.T) {
+// TestExpiredPrefixesAreDropped: prefixes that are no longer believed to be cached must not stay in
+// memory.
+func TestExpiredPrefixesAreDropped(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
-	p := known(c, 3, 5)
+	p := poolsWithPrefixes(c, 3, 5)
 	count := func() int {
 		n := 0
 		for _, m := range p.members {
@@ -39,16 +40,16 @@
 	}
 	p.Report()
 	assert.Equal(t, 15, count())
-	c.Advance(prefixKeeps + time.Second)
+	c.Advance(prefixTTL + time.Second)
 	p.Report()
 	assert.Zero(t, count())
 }
 
-// BenchmarkReport makes the report of a node that knows of the 10,000 prefixes that a fleet
-// of 95 places in 30 s; a node makes some 30 a second. 205 us each when each looked for
-// prefixes to forget, 0.5 us since they are looked for once in a while (one run each).
+// BenchmarkReport makes the report of a node that knows of 10,000 prefixes, as a fleet of 95 nodes places
+// in 30 s; a node makes some 30 reports a second. A report took 205 us while each one scanned for expired
+// prefixes, and takes 0.5 us since they are scanned for at an interval (one run each).
 func BenchmarkReport(b *testing.B) {
-	p := known(timer.NewManual(time.Unix(1000, 0)), 53, 190)
+	p := poolsWithPrefixes(timer.NewManual(time.Unix(1000, 0)), 53, 190)
 	for i := 0; i < b.N; i++ {
 		p.Report()
 	}
--- a/internal/retry/outlier.go
+++ b/internal/retry/outlier.go
@@ -6,122 +6,121 @@
 	"spurhall.example/spurhall/internal/chart"
 )
 
-// Outliers keeps the health of the upstreams of one pool. An upstream that fails
-// several times in a row, or that is silent for long, is ejected for a while and
-// then probed with one request. Never more than a share of the pool is ejected: if
-// everything fails, the fault is elsewhere, and ejecting the rest makes it worse.
+// Outliers tracks the health of the upstreams of one pool. An upstream that fails several times in a row,
+// or that does not respond for long, is ejected for a while and then probed with one request. At most a
+// fixed share of the pool is ejected at a time: if every upstream fails, the cause lies elsewhere, and
+// ejecting the remaining ones would make it worse.
 type Outliers struct {
-	life    *chart.Chart
-	share   float64
-	after   int
-	first   time.Duration
-	longest time.Duration
-	health  map[string]*health
+	chart         *chart.Chart
+	maxShare      float64
+	ejectAfter    int
+	firstEjection time.Duration
+	maxEjection   time.Duration
+	health        map[string]*health
 }
 
 type health struct {
-	life  *chart.Life
-	fails int
-	times int // ejections in a row
-	until time.Duration
+	state        *chart.Life
+	failures     int
+	ejections    int // consecutive ejections
+	ejectedUntil time.Duration
 }
 
-// NewOutliers returns the health of a pool of which at most that share may be
-// ejected.
-func NewOutliers(share float64) *Outliers {
+// NewOutliers returns the health of a pool of which at most maxShare may be ejected.
+func NewOutliers(maxShare float64) *Outliers {
 	return &Outliers{
-		life: chart.Load("upstream"), share: share, after: 3,
-		first: 2 * time.Second, longest: 60 * time.Second, health: make(map[string]*health),
+		chart: chart.Load("upstream"), maxShare: maxShare, ejectAfter: 3,
+		firstEjection: 2 * time.Second, maxEjection: 60 * time.Second, health: make(map[string]*health),
 	}
 }
 
 func (o *Outliers) get(id string) *health {
 	h := o.health[id]
 	if h == nil {
-		h = &health{life: o.life.Begin()}
+		h = &health{state: o.chart.Begin()}
 		o.health[id] = h
 	}
 	return h
 }
 
-// Usable tells whether the upstream may get a request now. The first question
-// after its time is up makes it a probe, which only that one caller may send.
+// Usable reports whether the upstream may be sent a request now. The first request that is sent after an
+// ejection has expired is the probe; no other request is sent until the probe's result is known.
 func (o *Outliers) Usable(now time.Duration, id string) bool {
 	h := o.health[id]
-	if h == nil || h.life.Is("live") {
+	if h == nil || h.state.Is("live") {
 		return true
 	}
-	if h.life.Is("ejected") && now >= h.until {
+	if h.state.Is("ejected") && now >= h.ejectedUntil {
 		return true
 	}
 	return false
 }
 
-// Failing tells whether the upstream's newest answer that tells something was a failure.
+// Failing reports whether the upstream's latest conclusive result was a failure.
 func (o *Outliers) Failing(id string) bool {
 	h := o.health[id]
-	return h != nil && h.fails > 0
+	return h != nil && h.failures > 0
 }
 
-// Sending notes that a request goes to the upstream: to an ejected one, it is the
+// Sending records that a request is sent to the upstream. For an ejected upstream, that request is the
 // probe.
 func (o *Outliers) Sending(id string) {
 	h := o.health[id]
-	if h != nil && h.life.Is("ejected") {
-		_ = h.life.Fire("probe")
+	if h != nil && h.state.Is("ejected") {
+		_ = h.state.Fire("probe")
 	}
 }
 
-// Success notes an answer.
+// Success records a successful response.
 func (o *Outliers) Success(id string) {
 	h := o.health[id]
 	if h == nil {
 		return
 	}
-	h.fails, h.times = 0, 0
-	if h.life.Is("probing") {
-		_ = h.life.Fire("pass")
+	h.failures, h.ejections = 0, 0
+	if h.state.Is("probing") {
+		_ = h.state.Fire("pass")
 	}
 }
 
-// Unclear notes an attempt that says nothing of the upstream's health: its caller left,
-// or it was refused. A probe that ends so may be repeated at once.
-func (o *Outliers) Unclear(now time.Duration, id string) {
+// Inconclusive records an attempt that gives no information on the upstream's health: the caller
+// disconnected, or the upstream rejected the request. A probe that ends this way may be repeated at once.
+func (o *Outliers) Inconclusive(now time.Duration, id string) {
 	h := o.health[id]
-	if h != nil && h.life.Is("probing") {
-		_ = h.life.Fire("unclear")
-		h.until = now
+	if h != nil && h.state.Is("probing") {
+		_ = h.state.Fire("unclear")
+		h.ejectedUntil = now
 	}
 }
 
-// Failure notes a failed or silent attempt in a pool of that size, and tells
-// whether it led to an ejection.
+// Failure records a failed or timed-out attempt in a pool of the given size, and reports whether it caused
+// an ejection.
 func (o *Outliers) Failure(now time.Duration, id string, size int) bool {
 	h := o.get(id)
-	h.fails++
-	probing := h.life.Is("probing")
-	if !probing && (h.fails < o.after || !o.room(size)) {
+	h.failures++
+	probing := h.state.Is("probing")
+	if !probing && (h.failures < o.ejectAfter || !o.canEject(size)) {
 		return false
 	}
-	if !probing && !h.life.Is("live") {
+	if !probing && !h.state.Is("live") {
 		return false
 	}
-	_ = h.life.Fire("eject")
-	d := min(o.first<<min(h.times, 6), o.longest)
-	h.times++
-	h.until = now + d
+	_ = h.state.Fire("eject")
+	d := min(o.firstEjection<<min(h.ejections, 6), o.maxEjection)
+	h.ejections++
+	h.ejectedUntil = now + d
 	return true
 }
 
-func (o *Outliers) room(size int) bool {
+func (o *Outliers) canEject(size int) bool {
 	n := 0
 	for _, h := range o.health {
-		if h.life.Is("ejected") || h.life.Is("probing") {
+		if h.state.Is("ejected") || h.state.Is("probing") {
 			n++
 		}
 	}
-	return float64(n+1) <= o.share*float64(size)
+	return float64(n+1) <= o.maxShare*float64(size)
 }
 
-// Forget drops an upstream that is gone.
+// Forget drops the health of an upstream that was removed.
 func (o *Outliers) Forget(id string) { delete(o.health, id) }
