--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -241,7 +241,7 @@
 func (n *Node) report(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
-		Node: n.s.Node, Lifetime: n.o.Lifetime, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
+		Node: n.s.Node, Lifetime: n.o.Incarnation, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
 		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.s.Hall, Cores: n.s.Cores,
 	}
 	if h := n.catalog.Load(); h != nil {
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -26,7 +26,7 @@
 
 // recallCached asks this node's part of the engines.
 func (n *Node) recallCached(ctx context.Context) {
-	if n.s.FirstStart || n.o.Cached == nil {
+	if n.s.FirstStart || n.o.FetchCachedParts == nil {
 		return
 	}
 	select {
@@ -45,7 +45,7 @@
 			continue
 		}
 		sent := n.clock.Now()
-		parts, said, err := n.o.Cached(ctx, e.Address)
+		parts, said, err := n.o.FetchCachedParts(ctx, e.Address)
 		n.heard(e, said, sent)
 		if err != nil {
 			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Rest), zap.String("cause", err.Error()))
