--- a/internal/edge/counted.go
+++ b/internal/edge/counted.go
@@ -20,18 +20,18 @@
 const (
 	// countedAfter is how long after a window's end its counts are written: a round of
 	// reports, and its delay.
-	countedAfter = pair.Round + 100*time.Millisecond
+	usageWriteDelay = pair.Round + 100*time.Millisecond
 	// countedWindows is how many ended windows are written: those that may still wait for a
 	// silent node.
-	countedWindows = 3
+	usageWriteWindows = 3
 	// countedAgain is how often they are written again at most, where counts came late: a
 	// hall that was cut off tells of its windows when it is heard again, and all processes
 	// may be lost soon after that.
-	countedAgain = 500 * time.Millisecond
+	usageRewriteInterval = 500 * time.Millisecond
 )
 
 // countedRecord is the counts.
-var countedRecord = record{name: "counted", key: "spurhall/counted"}
+var usageCountsRecord = record{name: "counted", key: "spurhall/counted"}
 
 // processCounts is what one process has counted.
 type processCounts struct {
@@ -41,17 +41,17 @@
 }
 
 // counted is the holder's side of the counts.
-type counted struct {
-	window int64     // the newest that was written in this term
-	total  int64     // requests in what was written
-	at     time.Time // when it was
+type usageCountsWriter struct {
+	writtenWindow int64     // the newest that was written in this term
+	writtenTotal  int64     // requests in what was written
+	writtenAt     time.Time // when it was
 }
 
 // begin takes in what the holder before has written.
-func (v *counted) begin(ctx context.Context, n *Node) {
-	*v = counted{}
+func (v *usageCountsWriter) restore(ctx context.Context, n *Node) {
+	*v = usageCountsWriter{}
 	var list []processCounts
-	if !countedRecord.read(ctx, n, &list) {
+	if !usageCountsRecord.read(ctx, n, &list) {
 		return
 	}
 	n.mu.Lock()
@@ -64,23 +64,23 @@
 // write puts the counts into the store once a window has ended, and again when more was
 // heard of it, on condition that the term lasts. What can't be written is tried again with
 // the next step.
-func (v *counted) write(ctx context.Context, n *Node, token int64) {
+func (v *usageCountsWriter) write(ctx context.Context, n *Node, token int64) {
 	now := n.clock.Wall()
 	newest := n.usage.Window(now) - 1
-	if now.Sub(n.usage.End(newest)) < countedAfter || newest <= v.window && now.Sub(v.at) < countedAgain {
+	if now.Sub(n.usage.End(newest)) < usageWriteDelay || newest <= v.writtenWindow && now.Sub(v.writtenAt) < usageRewriteInterval {
 		return
 	}
 	list := n.processCounts(newest)
-	total := totalOf(list)
-	if newest <= v.window && total == v.total {
+	total := totalRequests(list)
+	if newest <= v.writtenWindow && total == v.writtenTotal {
 		return
 	}
-	if countedRecord.write(ctx, n, token, list) {
-		*v = counted{newest, total, now}
+	if usageCountsRecord.write(ctx, n, token, list) {
+		*v = usageCountsWriter{newest, total, now}
 	}
 }
 
-func totalOf(list []processCounts) int64 {
+func totalRequests(list []processCounts) int64 {
 	sum := int64(0)
 	for _, p := range list {
 		for _, c := range p.Windows {
@@ -100,7 +100,7 @@
 	add := func(node, lifetime string, all usage.Windows) {
 		w := make(usage.Windows)
 		for k, c := range all {
-			if k > newest-countedWindows && k <= newest {
+			if k > newest-usageWriteWindows && k <= newest {
 				w[k] = maps.Clone(c) // it is encoded without the lock
 			}
 		}
@@ -108,7 +108,7 @@
 			list = append(list, processCounts{node, lifetime, w})
 		}
 	}
-	add(n.s.Node, n.o.Incarnation, n.usage.Own())
+	add(n.settings.Node, n.options.Incarnation, n.usage.Own())
 	n.usage.Others(add)
 	return list
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -12,19 +12,19 @@
 )
 
 // dutyEvery is how often the holder of the duties looks for something due.
-const dutyEvery = 250 * time.Millisecond
+const dutyInterval = 250 * time.Millisecond
 
 // duties takes the lease when it is free, and does what the platform asks of its
 // holder.
-func (n *Node) duties(ctx context.Context) {
-	if !n.s.Cloud.Usage && !n.s.Cloud.Scale && !n.s.Cloud.Rollouts {
+func (n *Node) runDuties(ctx context.Context) {
+	if !n.settings.Cloud.Usage && !n.settings.Cloud.Scale && !n.settings.Cloud.Rollouts {
 		return
 	}
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
-		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, End: n.usage.End, Counts: n.counts, Late: n.s.UsageDeadline,
-		Doubted: func(w int64) bool { return e.doubts(n.usage.End(w)) },
+		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.options.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
+		Window: n.usage.Window, End: n.usage.End, Counts: n.usageTally, Late: n.settings.UsageDeadline,
+		Doubted: func(w int64) bool { return e.isDoubtful(n.usage.End(w)) },
 	})
 	n.lease.Observe(func(err error) {
 		if !errors.Is(err, lease.ErrTaken) {
@@ -38,21 +38,21 @@
 		close(done)
 	}()
 	o := newOrderer(n)
-	rolls := newRoller(n)
-	var c counted
-	var v levels
-	var q heldRequests
+	rolls := newRolloutRunner(n)
+	var c usageCountsWriter
+	var v levelsWriter
+	var q quarantineWriter
 	term := int64(0)
-	n.clock.Every(ctx, dutyEvery, func(time.Time) {
+	n.clock.Every(ctx, dutyInterval, func(time.Time) {
 		token, held := n.lease.Token()
-		if n.s.Cloud.Usage && held {
+		if n.settings.Cloud.Usage && held {
 			if token != term {
 				term = token
-				c.begin(ctx, n)
-				v, e = levels{}, eraTerm{}
+				c.restore(ctx, n)
+				v, e = levelsWriter{}, eraTerm{}
 			}
-			if !e.known {
-				e.begin(ctx, n, token)
+			if !e.loaded {
+				e.restore(ctx, n, token)
 			}
 			c.write(ctx, n, token)
 			v.write(ctx, n, token)
@@ -61,10 +61,10 @@
 		if held {
 			q.write(ctx, n, token)
 		}
-		if n.s.Cloud.Rollouts && held {
+		if n.settings.Cloud.Rollouts && held {
 			rolls.step(ctx, token)
 		}
-		if n.s.Cloud.Scale {
+		if n.settings.Cloud.Scale {
 			o.step(ctx)
 		}
 	})
@@ -73,14 +73,14 @@
 
 // counts returns a window's counts. They are whole if every node that shares the traffic
 // has reported since the window ended.
-func (n *Node) counts(window int64) duty.Tally {
+func (n *Node) usageTally(window int64) duty.Tally {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	end := n.usage.End(window)
 	now, since := n.clock.Now(), n.clock.Wall().Sub(end)
 	whole := true
 	for _, p := range n.peers.peers {
-		if now.Sub(p.heard) > since {
+		if now.Sub(p.lastSeen) > since {
 			whole = false
 		}
 	}
--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -30,20 +30,20 @@
 
 // eraRose takes in that the store has come back from a copy. It is called from within the call that
 // heard so.
-func (n *Node) eraRose(r era.Rise) {
+func (n *Node) onEraRise(r era.Rise) {
 	storeEra.Set(r.To)
 	storeReturns.Add(1)
 	n.log.Warn("store_era_rose", zap.Int64("from", r.From), zap.Int64("to", r.To), zap.Int64("revision_before", r.Before))
 	now := n.clock.Now()
-	n.returned.Store(&now)
+	n.storeRestoredAt.Store(&now)
 	n.lease.Forget()
-	n.catalogReader.again()
-	n.listReader.again()
+	n.catalogFollower.restart()
+	n.listFollower.restart()
 }
 
 // hearEra takes in the era of a revision that another node has told of: this one may not reach the
 // store.
-func (n *Node) hearEra(peer string, revision int64) {
+func (n *Node) mergeEra(peer string, revision int64) {
 	err := n.era.Hear(era.Of(revision))
 	if err != nil && !errors.Is(err, era.ErrPast) {
 		n.log.Warn("era_unreadable", zap.String("peer", peer), zap.Int64("revision", revision), zap.String("cause", err.Error()))
@@ -56,10 +56,10 @@
 	missing, upstreams := n.pools.Missing()
 	_, holder := n.lease.Token()
 	r := &wire.StoreResponse{
-		Node: n.s.Node, Era: n.era.Now(), Revision: era.Number(n.pools.Revision()), Watching: n.listReader.inTouch.Load(),
+		Node: n.settings.Node, Era: n.era.Now(), Revision: era.Number(n.pools.Revision()), Watching: n.listFollower.connected.Load(),
 		Holder: holder, Upstreams: int64(upstreams),
 	}
-	if t := n.returned.Load(); t != nil {
+	if t := n.storeRestoredAt.Load(); t != nil {
 		r.Returned, r.ReturnedAgeMs = true, now.Sub(*t).Milliseconds()
 	}
 	for _, v := range missing {
@@ -72,7 +72,7 @@
 var eraRecord = record{name: "era", key: "spurhall/era"}
 
 // eraBegan is its value.
-type eraBegan struct {
+type eraStart struct {
 	Era int64 `json:"era"`
 	At  int64 `json:"at"` // Unix milliseconds
 }
@@ -81,35 +81,35 @@
 // after the store's return can't know when that was, so the first holder in an era writes down that it
 // is in one, and takes all that lies before that moment for doubtful.
 type eraTerm struct {
-	known bool
-	began time.Time // what ended before may have been settled in an era before; zero: nothing may
+	loaded    bool
+	startedAt time.Time // what ended before may have been settled in an era before; zero: nothing may
 }
 
 // begin finds out when the era began that this term is of. It is tried again with the next step where
 // the store doesn't answer; until then all is doubtful.
-func (v *eraTerm) begin(ctx context.Context, n *Node, token int64) {
-	v.began = n.clock.Wall()
+func (v *eraTerm) restore(ctx context.Context, n *Node, token int64) {
+	v.startedAt = n.clock.Wall()
 	if era.Of(token) == 0 { // this store has none
-		v.known, v.began = true, time.Time{}
+		v.loaded, v.startedAt = true, time.Time{}
 		return
 	}
-	var w eraBegan
+	var w eraStart
 	found, err := eraRecord.load(ctx, n, &w)
 	if err != nil {
 		n.log.Info("era_unread", zap.String("cause", err.Error()))
-		v.known = found // what can't be decoded can't be read the next time
+		v.loaded = found // what can't be decoded can't be read the next time
 		return
 	}
-	v.known = true
+	v.loaded = true
 	switch {
 	case found && w.Era == era.Of(token):
-		v.began = time.UnixMilli(w.At)
+		v.startedAt = time.UnixMilli(w.At)
 		return
-	case n.s.FirstStart && n.returned.Load() == nil:
-		v.began = time.UnixMilli(0) // nobody was there before
+	case n.settings.FirstStart && n.storeRestoredAt.Load() == nil:
+		v.startedAt = time.UnixMilli(0) // nobody was there before
 	}
-	v.known = eraRecord.write(ctx, n, token, eraBegan{Era: era.Of(token), At: v.began.UnixMilli()})
+	v.loaded = eraRecord.write(ctx, n, token, eraStart{Era: era.Of(token), At: v.startedAt.UnixMilli()})
 }
 
 // doubts tells whether a window that ended then may have been settled in an era before.
-func (v *eraTerm) doubts(end time.Time) bool { return !v.known || end.Before(v.began) }
+func (v *eraTerm) isDoubtful(end time.Time) bool { return !v.loaded || end.Before(v.startedAt) }
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -19,7 +19,7 @@
 )
 
 // erasKV is a stand-in's keys as a store that may come back from a copy.
-func erasKV(k *standin.Keys, c *era.Clock) store.KV {
+func newEraKV(k *standin.Keys, c *era.Clock) store.KV {
 	return store.Dated(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) { return k.Range(key, end), nil },
 		Txn:   func(_ context.Context, t store.Txn) (store.TxnResult, error) { return k.Txn(t) },
@@ -43,59 +43,59 @@
 	v := &eraNode{keys: standin.NewKeys(clock.Service()), clock: clock}
 	c := era.NewClock()
 	require.NoError(t, c.Hear(1))
-	v.Node = holder(t, erasKV(v.keys, c), clock.Service(), "a")
-	v.Node.era, v.Node.s = c, &Settings{Node: "a"}
-	v.Node.suspects = quarantine.NewBook("a")
+	v.Node = newHolder(t, newEraKV(v.keys, c), clock.Service(), "a")
+	v.Node.era, v.Node.settings = c, &Settings{Node: "a"}
+	v.Node.quarantine = quarantine.NewBook("a")
 	c.OnRise(func(era.Rise) { v.Node.lease.Forget() })
 	return v
 }
 
 // giveBack lets the store come back from a copy, and the node take the duties anew.
-func (v *eraNode) giveBack(t *testing.T, c *standin.Copy) int64 {
+func (v *eraNode) restoreStore(t *testing.T, c *standin.Copy) int64 {
 	t.Helper()
 	v.keys.Return(c)
 	require.NoError(t, v.Node.era.Hear(v.Node.era.Now()+1))
-	return takeOver(t, v.Node)
+	return acquireLease(t, v.Node)
 }
 
 // TestOrderedOverAnOlderCopy: what was ordered since the copy stands in the store again.
-func TestOrderedOverAnOlderCopy(t *testing.T) {
+func TestOrderFloorRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
-	onDemand := subject{"llm", "hall-a", false}
-	token := takeOver(t, n.Node)
+	onDemand := orderKey{"llm", "hall-a", false}
+	token := acquireLease(t, n.Node)
 	copied := n.keys.Copy()
-	var v, next ordered
-	v.begin(ctx, n.Node, token)
-	v.note(onDemand, 4)
+	var v, next orderFloor
+	v.restore(ctx, n.Node, token)
+	v.record(onDemand, 4)
 	v.write(ctx, n.Node, token)
-	token = n.giveBack(t, copied)
-	v.begin(ctx, n.Node, token)
+	token = n.restoreStore(t, copied)
+	v.restore(ctx, n.Node, token)
 	v.write(ctx, n.Node, token)
-	next.begin(ctx, n.Node, token)
-	assert.Equal(t, 4, next.least(n.clock.Service().Now(), onDemand))
+	next.restore(ctx, n.Node, token)
+	assert.Equal(t, 4, next.minCount(n.clock.Service().Now(), onDemand))
 }
 
 // TestHeldOverAnOlderCopy: what holds requests back stands in the store again.
-func TestHeldOverAnOlderCopy(t *testing.T) {
+func TestQuarantineRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
-	token := takeOver(t, n.Node)
+	token := acquireLease(t, n.Node)
 	copied := n.keys.Copy()
 	now := n.clock.Service().Now()
 	for i := range quarantine.Proof {
-		n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: string(rune('a' + i)), At: now})
+		n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: string(rune('a' + i)), At: now})
 	}
-	var q heldRequests
+	var q quarantineWriter
 	q.write(ctx, n.Node, token)
-	assert.Len(t, n.keys.Range(heldRecord.key, "").Pairs, 1)
-	token = n.giveBack(t, copied)
-	assert.Empty(t, n.keys.Range(heldRecord.key, "").Pairs)
+	assert.Len(t, n.keys.Range(quarantineRecord.key, "").Pairs, 1)
+	token = n.restoreStore(t, copied)
+	assert.Empty(t, n.keys.Range(quarantineRecord.key, "").Pairs)
 	q.write(ctx, n.Node, token)
-	assert.Len(t, n.keys.Range(heldRecord.key, "").Pairs, 1)
+	assert.Len(t, n.keys.Range(quarantineRecord.key, "").Pairs, 1)
 }
 
 // TestLearnedOverAnOlderCopy: what the copy has of the engines is older than what this process goes by, or
 // nothing. It doesn't take its place, and what is known now stands in the store again.
-func TestLearnedOverAnOlderCopy(t *testing.T) {
+func TestEnginesRewrittenAfterStoreRestore(t *testing.T) {
 	old, now := capacity.Engine{Reading: 30, First: 90, Token: 20}, capacity.Engine{Reading: 90, First: 30, Token: 5}
 	for name, copied := range map[string]map[string]capacity.Engine{
 		"an older figure": {"llm": old}, "none of this service": {"other": now}, "none": nil,
@@ -103,20 +103,20 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, n := t.Context(), newEraNode(t)
 			n.pools = pool.New(n.clock.Service(), "a", "hall-a")
-			token := takeOver(t, n.Node)
-			var v learned
-			v.begin(ctx, n.Node)
+			token := acquireLease(t, n.Node)
+			var v enginesWriter
+			v.restore(ctx, n.Node)
 			v.write(ctx, n.Node, token, copied)
 			c := n.keys.Copy()
 			n.pools.Recall("llm", now)
 			v.write(ctx, n.Node, token, n.pools.Learned())
-			token = n.giveBack(t, c)
-			v.begin(ctx, n.Node)
+			token = n.restoreStore(t, c)
+			v.restore(ctx, n.Node)
 			assert.Equal(t, now.Reading, n.pools.Engine("llm").Reading)
 			v.write(ctx, n.Node, token, n.pools.Learned())
 			n.pools = pool.New(n.clock.Service(), "a", "hall-a")
-			var next learned
-			next.begin(ctx, n.Node)
+			var next enginesWriter
+			next.restore(ctx, n.Node)
 			assert.Equal(t, now.Reading, n.pools.Engine("llm").Reading, "who begins later finds it")
 		})
 	}
@@ -125,16 +125,16 @@
 // TestWatchesBeginAnewAtARise: whoever the rise is heard from, the watches under way are ended with it. A
 // node that hears it from another one has no call at the store that fails by it, and would read anew only
 // once the watch's time is over, 6 s later at most.
-func TestWatchesBeginAnewAtARise(t *testing.T) {
+func TestWatchesRestartOnEraRise(t *testing.T) {
 	n := newEraNode(t).Node
-	n.listReader, n.catalogReader = &follower{n: n}, &follower{n: n}
+	n.listFollower, n.catalogFollower = &follower{n: n}, &follower{n: n}
 	under := func(f *follower) context.Context {
 		c, stop := context.WithCancelCause(t.Context())
-		f.set(stop)
+		f.setCancel(stop)
 		return c
 	}
-	list, catalog := under(n.listReader), under(n.catalogReader)
-	n.eraRose(era.Rise{From: 1, To: 2})
+	list, catalog := under(n.listFollower), under(n.catalogFollower)
+	n.onEraRise(era.Rise{From: 1, To: 2})
 	assert.ErrorIs(t, context.Cause(list), errBehind)
 	assert.ErrorIs(t, context.Cause(catalog), errBehind)
 }
@@ -145,48 +145,48 @@
 	ctx := t.Context()
 	began := func(n *eraNode, token int64) eraTerm {
 		var v eraTerm
-		v.begin(ctx, n.Node, token)
+		v.restore(ctx, n.Node, token)
 		return v
 	}
 	t.Run("in the first term of the whole system nothing is doubtful", func(t *testing.T) {
 		n := newEraNode(t)
-		n.Node.s.FirstStart = true
-		v := began(n, takeOver(t, n.Node))
-		assert.False(t, v.doubts(time.Unix(1, 0)))
+		n.Node.settings.FirstStart = true
+		v := began(n, acquireLease(t, n.Node))
+		assert.False(t, v.isDoubtful(time.Unix(1, 0)))
 	})
 	t.Run("after a return all before is, and stays so for the next holder", func(t *testing.T) {
 		n := newEraNode(t)
-		n.Node.s.FirstStart = true
-		v := began(n, takeOver(t, n.Node))
+		n.Node.settings.FirstStart = true
+		v := began(n, acquireLease(t, n.Node))
 		copied := n.keys.Copy()
-		n.Node.returned.Store(new(time.Time))
-		token := n.giveBack(t, copied)
+		n.Node.storeRestoredAt.Store(new(time.Time))
+		token := n.restoreStore(t, copied)
 		at := n.clock.Service().Wall()
 		v = began(n, token)
-		assert.True(t, v.doubts(at.Add(-time.Second)))
-		assert.False(t, v.doubts(at.Add(time.Second)))
+		assert.True(t, v.isDoubtful(at.Add(-time.Second)))
+		assert.False(t, v.isDoubtful(at.Add(time.Second)))
 		n.clock.Advance(time.Minute)
 		v = began(n, token)
-		assert.False(t, v.doubts(at.Add(time.Second)), "the era began when the first one said")
+		assert.False(t, v.isDoubtful(at.Add(time.Second)), "the era began when the first one said")
 	})
 	t.Run("a process that began after it knows no better", func(t *testing.T) {
 		n := newEraNode(t)
-		v := began(n, takeOver(t, n.Node))
-		assert.True(t, v.doubts(n.clock.Service().Wall().Add(-time.Second)))
+		v := began(n, acquireLease(t, n.Node))
+		assert.True(t, v.isDoubtful(n.clock.Service().Wall().Add(-time.Second)))
 	})
 	t.Run("while the store doesn't tell, all is", func(t *testing.T) {
 		n := newEraNode(t)
-		token := takeOver(t, n.Node)
+		token := acquireLease(t, n.Node)
 		n.Node.kv.Range = func(context.Context, string, string) (store.RangeResult, error) {
 			return store.RangeResult{}, store.ErrUnavailable
 		}
 		n.Node.log = zap.NewNop()
 		v := began(n, token)
-		assert.True(t, v.doubts(time.Unix(1<<40, 0)))
+		assert.True(t, v.isDoubtful(time.Unix(1<<40, 0)))
 	})
 	t.Run("a store without eras loses nothing", func(t *testing.T) {
 		n := newEraNode(t)
 		v := began(n, 7)
-		assert.False(t, v.doubts(time.Unix(1, 0)))
+		assert.False(t, v.isDoubtful(time.Unix(1, 0)))
 	})
 }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -33,38 +33,38 @@
 const (
 	// watchersAHall is how many nodes of a hall watch: the loss of one costs the others a
 	// time-out.
-	watchersAHall = 2
+	watchersPerHall = 2
 	// followWait is how long a question without news is held, and followTimeout how long an
 	// answer may take: a watcher that froze is given up well within the time in which an
 	// upstream that leaves has to be known.
-	followWait    = 400 * time.Millisecond
-	followTimeout = followWait + 250*time.Millisecond
+	followWaitLimit = 400 * time.Millisecond
+	followTimeout   = followWaitLimit + 250*time.Millisecond
 	// aloneFor is how long a node watches by itself after those that watch failed it.
-	aloneFor = 5 * time.Second
+	selfWatchDuration = 5 * time.Second
 	// rolesEvery is how often a node looks whether it has to watch.
-	rolesEvery = 250 * time.Millisecond
+	roleCheckInterval = 250 * time.Millisecond
 )
 
 // errNoNews says that a node doesn't watch the store, or is behind.
-var errNoNews = errs.NewType("no_news").New("the node has no news of the store")
+var errNoUpdates = errs.NewType("no_news").New("the node has no news of the store")
 
 // news tells those that wait when there is some.
-type news struct {
+type changeFeed struct {
 	mu       sync.Mutex
-	changed  chan struct{} // closed by the next news
+	notify   chan struct{} // closed by the next news
 	sequence int64         // of the list
 }
 
-func newNews() *news { return &news{changed: make(chan struct{})} }
+func newChangeFeed() *changeFeed { return &changeFeed{notify: make(chan struct{})} }
 
-func (v *news) announce() {
+func (v *changeFeed) announce() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	close(v.changed)
-	v.changed = make(chan struct{})
+	close(v.notify)
+	v.notify = make(chan struct{})
 }
 
-func (v *news) announceList() {
+func (v *changeFeed) announceList() {
 	v.mu.Lock()
 	v.sequence++
 	v.mu.Unlock()
@@ -72,10 +72,10 @@
 }
 
 // next returns the list's sequence and what is closed by the next news.
-func (v *news) next() (int64, <-chan struct{}) {
+func (v *changeFeed) subscribe() (int64, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.sequence, v.changed
+	return v.sequence, v.notify
 }
 
 // watchers names the nodes of this hall that watch the store: those that come first in the
@@ -85,18 +85,18 @@
 func (n *Node) watchers() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.watchersAt(n.clock.Now())
+	return n.watchersLocked(n.clock.Now())
 }
 
 // watchersAt is watchers. The node's lock is held.
-func (n *Node) watchersAt(now time.Time) []string {
+func (n *Node) watchersLocked(now time.Time) []string {
 	silent := pair.Silent(n.peers.size())
-	heard, served := map[string]float64{n.s.Node: n.s.Cores}, map[string]float64{}
+	heard, served := map[string]float64{n.settings.Node: n.settings.Cores}, map[string]float64{}
 	if n.guard.Up() {
-		served[n.s.Node] = n.s.Cores
+		served[n.settings.Node] = n.settings.Cores
 	}
 	for _, p := range n.peers.peers {
-		if p.hall != n.s.Hall || p.leaving || now.Sub(p.heard) > silent {
+		if p.hall != n.settings.Hall || p.leaving || now.Sub(p.lastSeen) > silent {
 			continue
 		}
 		heard[p.name] = p.cores
@@ -108,44 +108,44 @@
 		served = heard
 	}
 	names := relay.Order(served)
-	return names[:min(len(names), watchersAHall)]
+	return names[:min(len(names), watchersPerHall)]
 }
 
 // watchesFor tells whether this node is one of those that watch for their hall. The node's
 // lock is held.
-func (n *Node) watchesFor(now time.Time) bool {
-	return slices.Contains(n.watchersAt(now), n.s.Node)
+func (n *Node) isWatcherLocked(now time.Time) bool {
+	return slices.Contains(n.watchersLocked(now), n.settings.Node)
 }
 
 // isWatcher tells whether this node is one of those that watch for their hall.
-func (n *Node) isWatcher() bool { return slices.Contains(n.watchers(), n.s.Node) }
+func (n *Node) isWatcher() bool { return slices.Contains(n.watchers(), n.settings.Node) }
 
 // watchAlone makes this node watch by itself for a while. The node's lock is held.
-func (n *Node) watchAlone(now time.Time) { n.alone = now.Add(aloneFor) }
+func (n *Node) startSelfWatch(now time.Time) { n.selfWatchUntil = now.Add(selfWatchDuration) }
 
 // watches tells whether this node has to watch the store now.
-func (n *Node) watches() bool {
+func (n *Node) mustWatch() bool {
 	now := n.clock.Now()
 	n.mu.Lock()
-	alone := now.Before(n.alone)
+	alone := now.Before(n.selfWatchUntil)
 	n.mu.Unlock()
-	return alone || !n.listed.Load() || n.current() == nil || n.isWatcher()
+	return alone || !n.listed.Load() || n.currentCatalog() == nil || n.isWatcher()
 }
 
 // watch watches the store, or asks those that do, until the context ends.
-func (n *Node) watch(ctx context.Context) {
+func (n *Node) followStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		if n.watches() {
+		if n.mustWatch() {
 			n.log.Info("watching", zap.Strings("watchers", n.watchers()))
-			n.while(ctx, n.watches, n.catalogReader.run, n.listReader.run)
+			n.runWhile(ctx, n.mustWatch, n.catalogFollower.run, n.listFollower.run)
 		} else {
-			n.while(ctx, func() bool { return !n.watches() }, n.followOthers)
+			n.runWhile(ctx, func() bool { return !n.mustWatch() }, n.followWatchers)
 		}
 	}
 }
 
 // while runs the duties for as long as the condition holds, and returns when they ended.
-func (n *Node) while(ctx context.Context, holds func() bool, duties ...func(context.Context)) {
+func (n *Node) runWhile(ctx context.Context, holds func() bool, duties ...func(context.Context)) {
 	c, cancel := context.WithCancel(ctx)
 	var w sync.WaitGroup
 	for _, f := range duties {
@@ -155,7 +155,7 @@
 			f(c)
 		}()
 	}
-	for holds() && n.clock.Sleep(c, rolesEvery) == nil {
+	for holds() && n.clock.Sleep(c, roleCheckInterval) == nil {
 	}
 	cancel()
 	w.Wait()
@@ -163,14 +163,14 @@
 
 // followOthers asks the nodes that watch, one after the other, and makes this node watch by
 // itself when all of them have failed it in a row.
-func (n *Node) followOthers(ctx context.Context) {
+func (n *Node) followWatchers(ctx context.Context) {
 	failed := 0
-	var from source
+	var from listSource
 	n.log.Info("following", zap.Strings("watchers", n.watchers()))
 	for ctx.Err() == nil {
 		names := n.watchers()
 		name := names[failed%len(names)]
-		err := n.follow(ctx, name, &from)
+		err := n.pollWatcher(ctx, name, &from)
 		if err == nil {
 			failed = 0
 			continue
@@ -180,9 +180,9 @@
 		}
 		failed++
 		n.log.Info("follow_failed", zap.String("peer", name), zap.String("cause", err.Error()))
-		if failed >= watchersAHall {
+		if failed >= watchersPerHall {
 			n.mu.Lock()
-			n.watchAlone(n.clock.Now())
+			n.startSelfWatch(n.clock.Now())
 			n.mu.Unlock()
 			return
 		}
@@ -190,21 +190,21 @@
 }
 
 // source is where this node's list is from.
-type source struct {
+type listSource struct {
 	lifetime string
 	sequence int64
 }
 
 // follow asks one node that watches for news, and takes them in.
-func (n *Node) follow(ctx context.Context, name string, from *source) error {
+func (n *Node) pollWatcher(ctx context.Context, name string, from *listSource) error {
 	n.mu.Lock()
 	p := n.peers.peers[name]
 	n.mu.Unlock()
 	if p == nil || p.client == nil {
-		return errNoNews
+		return errNoUpdates
 	}
 	version := int64(-1)
-	if c := n.current(); c != nil {
+	if c := n.currentCatalog(); c != nil {
 		version = c.Version()
 	}
 	c, cancel := context.WithTimeout(ctx, followTimeout)
@@ -215,16 +215,16 @@
 	}
 	m := a.Msg
 	if !m.Watching || m.HasList && m.ListRevision < n.pools.Change() {
-		return errNoNews
+		return errNoUpdates
 	}
-	n.followed()
+	n.markStoreAvailable()
 	if len(m.Catalog) > 0 {
-		n.accept(m.Catalog, name)
+		n.applyCatalog(m.Catalog, name)
 	}
 	if m.HasList {
 		items := message.ItemsFromWire(m.List)
-		n.update(name, func(now time.Time, l *pool.List) { l.Replace(now, m.ListRevision, items) })
-		*from = source{m.Lifetime, m.ListSequence}
+		n.updateList(name, func(now time.Time, l *pool.List) { l.Replace(now, m.ListRevision, items) })
+		*from = listSource{m.Lifetime, m.ListSequence}
 	}
 	return nil
 }
@@ -232,11 +232,11 @@
 // Follow answers as soon as there is something that the asker lacks.
 func (s *edgeService) Follow(ctx context.Context, r *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
 	n := s.n
-	late, stop := n.clock.After(followWait)
+	late, stop := n.clock.After(followWaitLimit)
 	defer stop()
 	for {
-		sequence, changed := n.news.next()
-		a := n.newsFor(r.Msg, sequence)
+		sequence, changed := n.changes.subscribe()
+		a := n.updatesFor(r.Msg, sequence)
 		if !a.Watching || a.HasList || len(a.Catalog) > 0 {
 			return connect.NewResponse(a), nil
 		}
@@ -245,30 +245,30 @@
 		case <-late:
 			return connect.NewResponse(a), nil
 		case <-ctx.Done():
-			return nil, errors.Join(errNoNews, ctx.Err())
+			return nil, errors.Join(errNoUpdates, ctx.Err())
 		}
 	}
 }
 
 // newsFor is what an asker lacks of this node's list, which has that sequence at least, and
 // of its configuration.
-func (n *Node) newsFor(r *wire.FollowRequest, sequence int64) *wire.FollowResponse {
-	a := &wire.FollowResponse{Watching: n.catalogReader.inTouch.Load() && n.listReader.inTouch.Load(), Lifetime: n.o.Incarnation, ListSequence: sequence}
+func (n *Node) updatesFor(r *wire.FollowRequest, sequence int64) *wire.FollowResponse {
+	a := &wire.FollowResponse{Watching: n.catalogFollower.connected.Load() && n.listFollower.connected.Load(), Lifetime: n.options.Incarnation, ListSequence: sequence}
 	if !a.Watching {
 		return a
 	}
 	if h := n.catalog.Load(); h != nil && h.catalog.Version() > r.CatalogVersion {
 		a.Catalog = h.raw
 	}
-	if r.Lifetime == n.o.Incarnation && r.ListSequence == sequence {
+	if r.Lifetime == n.options.Incarnation && r.ListSequence == sequence {
 		return a
 	}
 	a.HasList, a.ListRevision = true, n.pools.Revision()
-	a.List = n.itemsToWire()
+	a.List = n.listToWire()
 	return a
 }
 
-func (n *Node) itemsToWire() []*wire.ListItem {
+func (n *Node) listToWire() []*wire.ListItem {
 	var list []*wire.ListItem
 	for _, i := range n.pools.Items() {
 		list = append(list, message.ItemToWire(i))
--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -16,52 +16,52 @@
 
 // heard takes in one answer, to what was sent at a time. Who has the address of another upstream doesn't speak for that one.
 // While the store is away, an answer is the only word of an upstream that leaves.
-func (n *Node) heard(e pool.Entry, v call.Answer, sent time.Time) {
+func (n *Node) observeResponse(e pool.Entry, v call.Answer, sent time.Time) {
 	if v.Misplaced {
 		return
 	}
 	if v.Leaving && !n.pools.Leaving(e) {
-		n.update("answer", func(_ time.Time, l *pool.List) { l.Leave(e) })
+		n.updateList("answer", func(_ time.Time, l *pool.List) { l.Leave(e) })
 	}
 	if v.Rest > 0 && n.pools.Rest(e, v.Rest) {
 		upstreamEvents.Add("rests", 1)
 		n.log.Info("upstream_rests", zap.String("upstream", e.ID), zap.String("service", e.Service), zap.Int64("born", e.Born), zap.Duration("for", v.Rest))
 	}
-	n.noteUnread(e, v.Unread)
+	n.logUnknownNames(e, v.Unread)
 	if n.pools.HearLimit(e, v.Limit, sent) {
-		n.noteLimit("answer", limit.Word{Of: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
+		n.logLimit("answer", limit.Word{Of: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
 	}
 }
 
 // wordsNoted bounds the words that are told of: each is told once for each service.
-const wordsNoted = 64
+const maxUnknownNames = 64
 
 // unreadWords is what upstreams say that nothing reads, by service and name.
-type unreadWords struct {
-	mu   sync.Mutex
-	told map[[2]string]bool
+type unknownNames struct {
+	mu     sync.Mutex
+	logged map[[2]string]bool
 }
 
 // first tells whether a word hasn't been told of yet.
-func (u *unreadWords) first(service, name string) bool {
+func (u *unknownNames) shouldLog(service, name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	k := [2]string{service, name}
-	if u.told[k] || len(u.told) >= wordsNoted {
+	if u.logged[k] || len(u.logged) >= maxUnknownNames {
 		return false
 	}
-	if u.told == nil {
-		u.told = make(map[[2]string]bool)
+	if u.logged == nil {
+		u.logged = make(map[[2]string]bool)
 	}
-	u.told[k] = true
+	u.logged[k] = true
 	return true
 }
 
 // noteUnread tells of words that nothing reads: upstreams ask for something, and nobody does it.
-func (n *Node) noteUnread(e pool.Entry, names []string) {
+func (n *Node) logUnknownNames(e pool.Entry, names []string) {
 	for _, name := range names {
 		upstreamEvents.Add("words_unread", 1)
-		if n.unreadWords.first(e.Service, name) {
+		if n.unknownNames.shouldLog(e.Service, name) {
 			n.log.Warn("word_unread", zap.String("name", name), zap.String("service", e.Service), zap.String("upstream", e.ID))
 		}
 	}
--- a/internal/edge/heard_test.go
+++ b/internal/edge/heard_test.go
@@ -21,7 +21,7 @@
 
 // TestNoAnswerSaysNothing: a node asks an engine that names a limit what it has cached, and can't reach it. That no
 // answer named a limit was taken for an answer that names none: it was lifted, for all nodes.
-func TestNoAnswerSaysNothing(t *testing.T) {
+func TestFailedCallKeepsLimit(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{
 		Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock(),
@@ -34,14 +34,14 @@
 	n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, n.start)
 	c.Advance(time.Second)
 	sent := c.Service().Now()
-	_, said, _ := n.o.FetchCachedParts(t.Context(), e.Address)
-	n.heard(e, said, sent)
+	_, said, _ := n.options.FetchCachedParts(t.Context(), e.Address)
+	n.observeResponse(e, said, sent)
 	assert.Len(t, n.pools.Limits(), 1)
 	assert.False(t, n.pools.Limits()[0].Lifted)
 }
 
 // TestUpstreamsAreShown: what operators are told of an upstream is what the node goes by.
-func TestUpstreamsAreShown(t *testing.T) {
+func TestUpstreamsReportsStates(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 	for _, id := range []string{"a", "b", "c"} {
@@ -51,9 +51,9 @@
 	}
 	e := n.pools.Items()[0].Entry
 	e.ID = "a"
-	n.heard(e, call.Answer{Limit: call.Limit{Word: call.LimitNamed, Rate: 3}, Rest: time.Second}, c.Service().Now())
+	n.observeResponse(e, call.Answer{Limit: call.Limit{Word: call.LimitNamed, Rate: 3}, Rest: time.Second}, c.Service().Now())
 	e.ID = "b"
-	n.heard(e, call.Answer{Leaving: true, Limit: call.Limit{Word: call.LimitNone}}, c.Service().Now())
+	n.observeResponse(e, call.Answer{Leaving: true, Limit: call.Limit{Word: call.LimitNone}}, c.Service().Now())
 	c.Advance(400 * time.Millisecond)
 	a, err := (&edgeService{n: n}).Upstreams(t.Context(), connect.NewRequest(&wire.UpstreamsRequest{Service: "s"}))
 	require.NoError(t, err)
--- a/internal/edge/learned_test.go
+++ b/internal/edge/learned_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-func TestLearnedIsKnownToTheNextHolder(t *testing.T) {
+func TestNextHolderRestoresEngines(t *testing.T) {
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
 	s := httptest.NewServer(standin.NewPlatform(clock.Service()).Handler())
@@ -28,13 +28,13 @@
 		return kv.Txn(c, x)
 	}
 	start := func(name string) (*Node, int64) {
-		n := holder(t, counting, clock.Service(), name)
+		n := newHolder(t, counting, clock.Service(), name)
 		n.pools = pool.New(clock.Service(), "a", "hall-a")
-		return n, takeOver(t, n)
+		return n, acquireLease(t, n)
 	}
 	a, token := start("a")
-	var first learned
-	first.begin(ctx, a)
+	var first enginesWriter
+	first.restore(ctx, a)
 	engine := capacity.Engine{Reading: 90, First: 30, Token: 5, Samples: 400}
 	first.write(ctx, a, token, map[string]capacity.Engine{"llm": engine})
 
@@ -49,8 +49,8 @@
 		clock.Advance(4 * time.Second) // a's lease is over
 		b, _ := start("b")
 		assert.False(t, b.pools.Engine("llm").Known())
-		var second learned
-		second.begin(ctx, b)
+		var second enginesWriter
+		second.restore(ctx, b)
 		assert.Equal(t, engine.Reading, b.pools.Engine("llm").Reading)
 		assert.True(t, b.pools.Engine("llm").Known())
 		assert.Contains(t, b.pools.Learned(), "llm", "and it tells the others")
--- a/internal/edge/levels.go
+++ b/internal/edge/levels.go
@@ -16,12 +16,12 @@
 
 const (
 	// levelsEvery is how often levels are looked at for writing, at most.
-	levelsEvery = 500 * time.Millisecond
+	levelsCheckInterval = 500 * time.Millisecond
 	// levelsAgain is how often they are written though they didn't change: a process that
 	// starts goes by none that are older than some seconds.
-	levelsAgain = 3 * time.Second
+	levelsRewriteInterval = 3 * time.Second
 	// levelsChange is the part of a burst by which a level has to change to be written.
-	levelsChange = 0.1
+	minLevelChange = 0.1
 )
 
 // levelsRecord is the levels.
@@ -34,38 +34,38 @@
 }
 
 // levels is the holder's side of them.
-type levels struct {
-	looked  time.Time
-	written time.Time
-	last    map[string]quota.Level
+type levelsWriter struct {
+	checkedAt     time.Time
+	writtenAt     time.Time
+	writtenLevels map[string]quota.Level
 }
 
 // write puts the levels into the store if they changed.
-func (v *levels) write(ctx context.Context, n *Node, token int64) {
+func (v *levelsWriter) write(ctx context.Context, n *Node, token int64) {
 	now := n.clock.Now()
-	if now.Sub(v.looked) < levelsEvery-dutyEvery/2 {
+	if now.Sub(v.checkedAt) < levelsCheckInterval-dutyInterval/2 {
 		return
 	}
-	v.looked = now
+	v.checkedAt = now
 	n.mu.Lock()
 	l := n.quotas.Levels(now)
 	n.mu.Unlock()
-	if len(l) == 0 || now.Sub(v.written) < levelsAgain && !v.changed(n, l) {
+	if len(l) == 0 || now.Sub(v.writtenAt) < levelsRewriteInterval && !v.changed(n, l) {
 		return
 	}
 	if levelsRecord.write(ctx, n, token, levelsValue{At: n.clock.WallOf(now).UnixMilli(), Levels: l}) {
-		v.written, v.last = now, l
+		v.writtenAt, v.writtenLevels = now, l
 	}
 }
 
 // changed tells whether a level differs enough from what was written.
-func (v *levels) changed(n *Node, now map[string]quota.Level) bool {
-	c := n.current()
+func (v *levelsWriter) changed(n *Node, now map[string]quota.Level) bool {
+	c := n.currentCatalog()
 	if c == nil {
 		return false
 	}
 	for _, w := range c.Workspaces() {
-		if math.Abs(now[w.Name()].Level-v.last[w.Name()].Level) > levelsChange*w.Burst() {
+		if math.Abs(now[w.Name()].Level-v.writtenLevels[w.Name()].Level) > minLevelChange*w.Burst() {
 			return true
 		}
 	}
@@ -73,8 +73,8 @@
 }
 
 // recallLevels goes on from what was written down before this process began.
-func (n *Node) recallLevels(ctx context.Context) {
-	if n.s.FirstStart {
+func (n *Node) restoreLevels(ctx context.Context) {
+	if n.settings.FirstStart {
 		return
 	}
 	var v levelsValue
@@ -84,7 +84,7 @@
 	now := n.clock.Now()
 	age := now.Sub(n.clock.At(time.UnixMilli(v.At)))
 	n.mu.Lock()
-	taken := n.quotas.Recall(now, max(0, age), levelsEvery, v.Levels)
+	taken := n.quotas.Recall(now, max(0, age), levelsCheckInterval, v.Levels)
 	n.mu.Unlock()
 	n.log.Info("levels_found", zap.Duration("age", age), zap.Int("workspaces", len(v.Levels)), zap.Bool("taken", taken))
 }
--- a/internal/edge/levels_test.go
+++ b/internal/edge/levels_test.go
@@ -16,7 +16,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-func TestLevelsOutliveAllProcesses(t *testing.T) {
+func TestLevelsSurviveLossOfAllProcesses(t *testing.T) {
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
 	s := httptest.NewServer(standin.NewPlatform(clock.Service()).Handler())
@@ -25,41 +25,41 @@
 	c, err := catalog.New(catalog.Spec{Version: 1, Workspaces: []catalog.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}}})
 	require.NoError(t, err)
 	start := func(name string, first bool) *Node {
-		n := holder(t, kv, clock.Service(), name)
-		n.s = &Settings{Node: name, FirstStart: first}
+		n := newHolder(t, kv, clock.Service(), name)
+		n.settings = &Settings{Node: name, FirstStart: first}
 		n.quotas = quota.New(n.start, first)
 		n.quotas.SetLimits(n.start, map[string]quota.Limit{"w": {Rate: 1000, Burst: 1000}})
 		n.quotas.SetPeers(n.start, nil)
-		n.catalog.Store(&held{catalog: c})
+		n.catalog.Store(&activeCatalog{catalog: c})
 		return n
 	}
 	level := func(n *Node) float64 { return n.quotas.Levels(clock.Service().Now())["w"].Level }
 	a := start("a", true)
-	var v levels
-	v.write(ctx, a, takeOver(t, a))
-	written := v.written
+	var v levelsWriter
+	v.write(ctx, a, acquireLease(t, a))
+	written := v.writtenAt
 
 	t.Run("levels that didn't change aren't written again", func(t *testing.T) {
-		clock.Advance(levelsEvery)
+		clock.Advance(levelsCheckInterval)
 		token, _ := a.lease.Token()
 		v.write(ctx, a, token)
-		assert.Equal(t, written, v.written)
+		assert.Equal(t, written, v.writtenAt)
 		assert.True(t, a.quotas.Charge(clock.Service().Now(), "w", 900).Allowed)
-		clock.Advance(levelsEvery)
+		clock.Advance(levelsCheckInterval)
 		v.write(ctx, a, token)
-		assert.NotEqual(t, written, v.written)
+		assert.NotEqual(t, written, v.writtenAt)
 	})
 	t.Run("a process that starts goes on from them", func(t *testing.T) {
 		clock.Advance(100 * time.Millisecond)
 		b := start("b", false)
 		assert.InDelta(t, 250, level(b), 1)
-		b.recallLevels(ctx)
+		b.restoreLevels(ctx)
 		assert.InDelta(t, 650, level(b), 60, "what was left and what has come since")
 	})
 	t.Run("not from old ones", func(t *testing.T) {
 		clock.Advance(time.Minute)
 		c := start("c", false)
-		c.recallLevels(ctx)
+		c.restoreLevels(ctx)
 		assert.InDelta(t, 250, level(c), 1)
 	})
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -18,14 +18,14 @@
 // upstream in need keeps to its limit all the same.
 
 // hearLimits takes in what another node knows.
-func (n *Node) hearLimits(m []*wire.Limited, source string) {
+func (n *Node) mergeLimits(m []*wire.Limited, source string) {
 	for _, w := range n.pools.TakeLimits(message.LimitsFromWire(n.clock.Now(), m)) {
-		n.noteLimit(source, w)
+		n.logLimit(source, w)
 	}
 }
 
 // noteLimit tells that a limit is named, changed or lifted, and who said so.
-func (n *Node) noteLimit(source string, w limit.Word) {
+func (n *Node) logLimit(source string, w limit.Word) {
 	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
 	if w.Lifted {
 		upstreamEvents.Add("limits_lifted", 1)
@@ -39,23 +39,23 @@
 // shareLimits says which nodes share limits: those that this one hears or finds in the registry, and that don't
 // leave. Where relays place the requests at engines, they alone share an engine's. A process that doesn't know yet
 // who else there is has no share: after a loss of all, each would take the whole rate. The node's lock is held.
-func (n *Node) shareLimits(now time.Time) {
+func (n *Node) updateLimitSenders(now time.Time) {
 	var nodes, placers []string
-	if !n.knowsOthers(now) {
+	if !n.knowsPeers(now) {
 		n.pools.SetSenders(nil, nil)
 		return
 	}
 	if !n.isLeaving() {
-		nodes = append(nodes, n.s.Node)
+		nodes = append(nodes, n.settings.Node)
 	}
 	for _, p := range n.peers.peers {
-		if !p.leaving && n.isThere(now, p) {
+		if !p.leaving && n.isPresent(now, p) {
 			nodes = append(nodes, p.name)
 		}
 	}
 	slices.Sort(nodes)
 	if pair.Every(n.peers.size()) > pair.Round {
-		placers = n.relays(now, relay.Active)
+		placers = n.relaysOfAllHalls(now, relay.Active)
 	}
 	n.pools.SetSenders(nodes, placers)
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -17,7 +17,7 @@
 // TestYoungProcessesShareNoLimit: all processes of a fleet begin at once, while the store is away. Each took itself for
 // the only one, and the whole rate that an upstream had named for all: 113 requests in 4 s came where 29 are
 // allowed, from 70 nodes in the model.
-func TestYoungProcessesShareNoLimit(t *testing.T) {
+func TestStartingProcessesHaveNoLimitShare(t *testing.T) {
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	begin := func() (*Node, *timer.Manual) {
 		c := timer.NewManual(time.Unix(1_700_000_000, 0))
@@ -29,7 +29,7 @@
 	// sends tells whether the node sends anything there in some rounds.
 	sends := func(n *Node, c *timer.Manual, rounds int) bool {
 		for range rounds {
-			n.shareLimits(c.Service().Now())
+			n.updateLimitSenders(c.Service().Now())
 			if n.pools.Ask(e) {
 				return true
 			}
@@ -39,7 +39,7 @@
 	}
 	t.Run("that nobody has told of others", func(t *testing.T) {
 		n, c := begin()
-		assert.False(t, sends(n, c, int(lookedBy/pair.Round)))
+		assert.False(t, sends(n, c, int(registryWaitLimit/pair.Round)))
 		assert.True(t, sends(n, c, 5), "who is alone for longer is taken to be")
 	})
 	t.Run("before the first round, either", func(t *testing.T) {
@@ -50,7 +50,7 @@
 	})
 	t.Run("but one that has read the registry", func(t *testing.T) {
 		n, c := begin()
-		n.looked = true
+		n.registryRead = true
 		assert.True(t, sends(n, c, 3))
 	})
 }
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -26,11 +26,11 @@
 	memberTTL = 6 * time.Second
 	// memberRenew is how often the lease is renewed. A renewal costs a tenth of a call, so
 	// that renewing more seldom in a large fleet, by leases entered anew, saves nothing.
-	memberRenew = 1500 * time.Millisecond
+	memberRenewInterval = 1500 * time.Millisecond
 	// memberLook is how often the registry is read, at the stale read's price.
-	memberLook = 2 * time.Second
+	registryReadInterval = 2 * time.Second
 	// memberGone is how long a node is kept that is neither heard nor registered.
-	memberGone = 3 * time.Second
+	memberRetention = 3 * time.Second
 )
 
 type memberValue struct {
@@ -44,27 +44,27 @@
 func (n *Node) register(ctx context.Context) {
 	id := int64(0)
 	for ctx.Err() == nil {
-		pause := memberRenew
-		if id = n.renew(ctx, id); id == 0 {
-			pause = followPause // the others wait for it
+		pause := memberRenewInterval
+		if id = n.renewMember(ctx, id); id == 0 {
+			pause = storeRetryPause // the others wait for it
 		}
 		_ = n.clock.Sleep(ctx, pause) // the loop's condition sees the end
 	}
 	if id != 0 {
-		n.withdraw(id)
+		n.withdrawMember(id)
 	}
 }
 
 // renew keeps the lease of this node's key, or enters the key anew. It returns the
 // lease, or 0 if there is none.
-func (n *Node) renew(ctx context.Context, id int64) int64 {
+func (n *Node) renewMember(ctx context.Context, id int64) int64 {
 	if id != 0 {
 		_, err := n.kv.KeepAlive(ctx, id)
 		if !errors.Is(err, store.ErrLeaseGone) {
 			return id // renewed, or the next round tries again
 		}
 	}
-	id, err := n.enter(ctx)
+	id, err := n.putMember(ctx)
 	if err != nil {
 		n.log.Info("registration_failed", zap.String("cause", err.Error()))
 		return 0
@@ -73,17 +73,17 @@
 	return id
 }
 
-func (n *Node) enter(ctx context.Context) (int64, error) {
-	id, err := n.kv.Grant(ctx, max(memberTTL, n.s.Store.MinLease))
+func (n *Node) putMember(ctx context.Context) (int64, error) {
+	id, err := n.kv.Grant(ctx, max(memberTTL, n.settings.Store.MinLease))
 	if err != nil {
 		return 0, err
 	}
-	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Incarnation, Hall: n.s.Hall, Cores: n.s.Cores})
+	b, err := json.Marshal(memberValue{Address: n.settings.Peers, Lifetime: n.options.Incarnation, Hall: n.settings.Hall, Cores: n.settings.Cores})
 	if err != nil {
 		return 0, err
 	}
 	// The key may still be held by the lease of the process before, if that was killed.
-	k := memberPrefix + n.s.Node
+	k := memberPrefix + n.settings.Node
 	n.logPrevious(ctx, k)
 	_, err = n.kv.Txn(ctx, store.Txn{Then: []store.Op{{Kind: store.OpPut, Key: k, Value: b, Lease: id}}})
 	return id, err
@@ -96,7 +96,7 @@
 		return // nothing is known of it
 	}
 	var v memberValue
-	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Incarnation {
+	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.options.Incarnation {
 		return
 	}
 	n.log.Warn("previous_killed", zap.String("lifetime", v.Lifetime), zap.Int64("registered_at", r.Pairs[0].Modified))
@@ -104,7 +104,7 @@
 
 const withdrawTimeout = 300 * time.Millisecond
 
-func (n *Node) withdraw(id int64) {
+func (n *Node) withdrawMember(id int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if err := n.kv.Revoke(ctx, id); err != nil {
@@ -114,23 +114,23 @@
 
 // look reads the registry until the context ends. The first look is an exact read: a
 // node that starts needs the others at once.
-func (n *Node) look(ctx context.Context) {
+func (n *Node) pollRegistry(ctx context.Context) {
 	exact := func(ctx context.Context, p string) (store.RangeResult, error) {
 		return n.kv.Range(ctx, p, store.PrefixEnd(p))
 	}
-	for n.lookOnce(ctx, exact) != nil {
-		if n.clock.Sleep(ctx, followPause) != nil {
+	for n.readRegistry(ctx, exact) != nil {
+		if n.clock.Sleep(ctx, storeRetryPause) != nil {
 			return
 		}
 	}
-	n.clock.Every(ctx, memberLook, func(time.Time) {
-		if err := n.lookOnce(ctx, n.kv.Glance); err != nil {
+	n.clock.Every(ctx, registryReadInterval, func(time.Time) {
+		if err := n.readRegistry(ctx, n.kv.Glance); err != nil {
 			n.log.Debug("registry_unread", zap.String("cause", err.Error()))
 		}
 	})
 }
 
-func (n *Node) lookOnce(ctx context.Context, read func(ctx context.Context, prefix string) (store.RangeResult, error)) error {
+func (n *Node) readRegistry(ctx context.Context, read func(ctx context.Context, prefix string) (store.RangeResult, error)) error {
 	r, err := read(ctx, memberPrefix)
 	if err != nil {
 		return err
@@ -139,22 +139,22 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	for _, p := range r.Pairs {
-		n.listMember(now, p)
+		n.applyMember(now, p)
 	}
 	for name, p := range n.peers.peers {
-		if now.Sub(p.heard) > max(memberGone, pair.Silent(n.peers.size())) && now.Sub(p.listed) > memberGone {
+		if now.Sub(p.lastSeen) > max(memberRetention, pair.Silent(n.peers.size())) && now.Sub(p.lastListed) > memberRetention {
 			delete(n.peers.peers, name)
-			n.notePeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.heard)))
+			n.logPeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.lastSeen)))
 		}
 	}
-	n.looked = true
+	n.registryRead = true
 	n.quotas.SetPeers(now, n.peers.names())
 	return nil
 }
 
-func (n *Node) listMember(now time.Time, p store.Pair) {
+func (n *Node) applyMember(now time.Time, p store.Pair) {
 	name := p.Key[len(memberPrefix):]
-	if name == n.s.Node {
+	if name == n.settings.Node {
 		return
 	}
 	var v memberValue
@@ -163,40 +163,40 @@
 		return
 	}
 	known := n.peers.peers[name]
-	if known != nil && now.Sub(known.heard) <= pair.Silent(n.peers.size()) {
-		known.listed = now // what it says itself is newer than a stale read
+	if known != nil && now.Sub(known.lastSeen) <= pair.Silent(n.peers.size()) {
+		known.lastListed = now // what it says itself is newer than a stale read
 		return
 	}
-	found := n.peers.get(name, v.Address)
-	found.listed, found.hall, found.cores = now, v.Hall, v.Cores
+	found := n.peers.getOrAdd(name, v.Address)
+	found.lastListed, found.hall, found.cores = now, v.Hall, v.Cores
 }
 
 // greet calls the seeds until another node is known: a node that starts while the store
 // is away has no other way to find one.
-func (n *Node) greet(ctx context.Context) {
-	for len(n.s.Seeds) > 0 && ctx.Err() == nil {
+func (n *Node) contactSeeds(ctx context.Context) {
+	for len(n.settings.Seeds) > 0 && ctx.Err() == nil {
 		n.mu.Lock()
 		known := len(n.peers.peers) > 0
 		n.mu.Unlock()
 		if known {
 			return
 		}
-		for _, a := range n.s.Seeds {
-			if a != n.s.Peers {
-				n.greetOne(ctx, a)
+		for _, a := range n.settings.Seeds {
+			if a != n.settings.Peers {
+				n.contactSeed(ctx, a)
 			}
 		}
 		_ = n.clock.Sleep(ctx, pair.Round) // the loop's condition sees the end
 	}
 }
 
-func (n *Node) greetOne(ctx context.Context, address string) {
+func (n *Node) contactSeed(ctx context.Context, address string) {
 	c, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	a, err := n.peers.client(address).Report(c, connect.NewRequest(&wire.ReportRequest{Report: n.report(pairWindows)}))
+	a, err := n.peers.newClient(address).Report(c, connect.NewRequest(&wire.ReportRequest{Report: n.buildReport(pairWindows)}))
 	if err != nil {
 		n.log.Info("seed_silent", zap.String("address", address), zap.String("cause", err.Error()))
 		return
 	}
-	n.takeIn(ctx, a.Msg.Report)
+	n.applyReport(ctx, a.Msg.Report)
 }
--- a/internal/edge/members_test.go
+++ b/internal/edge/members_test.go
@@ -18,25 +18,25 @@
 
 // hall returns a node with so many others in its hall, all heard just now and served by the
 // store, the fleet being as large.
-func hall(t *testing.T, others int) (*Node, *timer.Manual, *observer.ObservedLogs) {
+func newHallNode(t *testing.T, others int) (*Node, *timer.Manual, *observer.ObservedLogs) {
 	t.Helper()
 	c := timer.NewManual(time.Unix(1000, 0))
 	core, logs := observer.New(zap.InfoLevel)
-	n := &Node{s: &Settings{Node: "edge-0", Hall: "a"}, clock: c.Service(), log: zap.New(core), guard: store.NewGuard(c.Service(), store.GuardOptions{Reads: 1, Writes: 1})}
-	n.peers = &table{n: n, peers: make(map[string]*peer)}
+	n := &Node{settings: &Settings{Node: "edge-0", Hall: "a"}, clock: c.Service(), log: zap.New(core), guard: store.NewGuard(c.Service(), store.GuardOptions{Reads: 1, Writes: 1})}
+	n.peers = &peerTable{n: n, peers: make(map[string]*peer)}
 	for i := 1; i <= others; i++ {
 		name := fmt.Sprint("edge-", i)
-		n.peers.peers[name] = &peer{name: name, hall: "a", heard: n.clock.Now(), storeUp: true}
+		n.peers.peers[name] = &peer{name: name, hall: "a", lastSeen: n.clock.Now(), storeUp: true}
 	}
 	return n, c, logs
 }
 
 // TestWatchersAreServed: a node that the store turns away doesn't watch for its hall, unless
 // it turns all of them away.
-func TestWatchersAreServed(t *testing.T) {
-	n, _, _ := hall(t, 9)
+func TestWatchersReachTheStore(t *testing.T) {
+	n, _, _ := newHallNode(t, 9)
 	before := n.watchers()
-	require.Len(t, before, watchersAHall)
+	require.Len(t, before, watchersPerHall)
 	n.peers.peers[before[0]].storeUp = false
 	after := n.watchers()
 	assert.NotContains(t, after, before[0])
@@ -44,14 +44,14 @@
 	for _, p := range n.peers.peers {
 		p.storeUp = false
 	}
-	assert.Len(t, n.watchers(), watchersAHall, "somebody has to try")
+	assert.Len(t, n.watchers(), watchersPerHall, "somebody has to try")
 }
 
 // TestRelaysThatFailedAreNotAsked, until they are heard again or some time has passed.
-func TestRelaysThatFailedAreNotAsked(t *testing.T) {
-	n, c, _ := hall(t, 20)
+func TestFailedRelaysAreNotCalled(t *testing.T) {
+	n, c, _ := newHallNode(t, 20)
 	first := relay.Relays(n.hallNodes(n.clock.Now(), "a"))[0]
-	if first == n.s.Node {
+	if first == n.settings.Node {
 		first = relay.Relays(n.hallNodes(n.clock.Now(), "a"))[1]
 	}
 	p := n.peers.peers[first]
@@ -59,22 +59,22 @@
 		t.Helper()
 		for _, o := range n.peers.peers {
 			if o != p {
-				o.heard = n.clock.Now()
+				o.lastSeen = n.clock.Now()
 			}
 		}
-		assert.Equal(t, want, len(names(n.hallNodes(n.clock.Now(), "a"), first)) == 1)
+		assert.Equal(t, want, len(matching(n.hallNodes(n.clock.Now(), "a"), first)) == 1)
 	}
 	assertAsked(t, true)
 	c.Advance(time.Second)
-	p.relaying.failed = n.clock.Now()
+	p.relay.failedAt = n.clock.Now()
 	assertAsked(t, false)
 	c.Advance(pair.Round)
-	p.heard = n.clock.Now()
+	p.lastSeen = n.clock.Now()
 	assertAsked(t, true)
 }
 
 // names returns those of a list that are a name.
-func names(list []string, name string) []string {
+func matching(list []string, name string) []string {
 	var r []string
 	for _, v := range list {
 		if v == name {
@@ -86,17 +86,17 @@
 
 // TestLogOfOthersFollowsTheFleet: in a large fleet, a node that doesn't watch the store for
 // its hall logs a line a round about the others, whatever became of how many.
-func TestLogOfOthersFollowsTheFleet(t *testing.T) {
-	n, _, logs := hall(t, 94)
+func TestPeerLogIsAggregatedInLargeFleets(t *testing.T) {
+	n, _, logs := newHallNode(t, 94)
 	for _, p := range n.peers.peers {
-		n.notePeer("peer_heard", zap.String("peer", p.name))
+		n.logPeer("peer_heard", zap.String("peer", p.name))
 	}
-	n.tellPeers()
+	n.flushPeerLog()
 	assert.Equal(t, 1, logs.Len())
 	assert.Equal(t, int64(94), logs.FilterMessage("peers_changed").All()[0].ContextMap()["heard"])
-	n.tellPeers()
+	n.flushPeerLog()
 	assert.Equal(t, 1, logs.Len(), "nothing more has happened")
-	n.notes.teller = true
-	n.notePeer("peer_heard", zap.String("peer", "edge-1"))
+	n.peerLog.verbose = true
+	n.logPeer("peer_heard", zap.String("peer", "edge-1"))
 	assert.Equal(t, 1, logs.FilterMessage("peer_heard").Len(), "one that watches tells of each")
 }
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -16,14 +16,14 @@
 )
 
 // silentNode answers reports with nothing.
-func silentNode() http.Handler {
+func emptyReportHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(wireconnect.NewEdgeHandler(wireconnect.UnimplementedEdgeHandler{}))
 	return m
 }
 
 // heldBytes is what the process holds now, on the heap and in stacks.
-func heldBytes() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -36,20 +36,20 @@
 func BenchmarkPeerConnections(b *testing.B) {
 	for _, nodes := range []int{70, 300} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
-			n := &Node{s: &Settings{Node: "n"}, clock: timer.Real(), log: zap.NewNop()}
-			t := newTable(n)
+			n := &Node{settings: &Settings{Node: "n"}, clock: timer.Real(), log: zap.NewNop()}
+			t := newPeerTable(n)
 			n.peers = t
 			for i := 0; i < nodes; i++ {
-				s := httptest.NewServer(silentNode())
+				s := httptest.NewServer(emptyReportHandler())
 				defer s.Close()
-				t.get(fmt.Sprint("peer-", i), s.Listener.Addr().String())
+				t.getOrAdd(fmt.Sprint("peer-", i), s.Listener.Addr().String())
 			}
 			for b.Loop() {
-				before := heldBytes()
+				before := memoryInUse()
 				for _, p := range t.peers {
-					_, _ = t.pair(p).Report(b.Context(), connect.NewRequest(&wire.ReportRequest{}))
+					_, _ = t.pairClient(p).Report(b.Context(), connect.NewRequest(&wire.ReportRequest{}))
 				}
-				b.ReportMetric((heldBytes()-before)/float64(nodes), "B/peer")
+				b.ReportMetric((memoryInUse()-before)/float64(nodes), "B/peer")
 			}
 		})
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -47,14 +47,14 @@
 // Options sets a node. The functions speak the platform's language; a node knows none
 // of its names.
 type Options struct {
-	Settings *Settings
+	Settings    *Settings
 	Incarnation string // unique for this process
-	Clock    *timer.Service
-	Log      *zap.Logger
-	KV       store.KV
-	Era      *era.Clock // hears of each answer of KV before it is returned
-	Cloud    duty.Cloud
-	Dialect  call.Dialect
+	Clock       *timer.Service
+	Log         *zap.Logger
+	KV          store.KV
+	Era         *era.Clock // hears of each answer of KV before it is returned
+	Cloud       duty.Cloud
+	Dialect     call.Dialect
 	// CatalogKey and EntryPrefix are where the store keeps the configuration and the
 	// upstreams; the functions read their values.
 	CatalogKey string
@@ -74,59 +74,59 @@
 
 // Node is one entry VM's process.
 type Node struct {
-	o        Options
-	s        *Settings
-	clock    *timer.Service
-	log      *zap.Logger
-	start    time.Time
-	guard    *store.Guard
-	kv       store.KV
-	era      *era.Clock
-	pools    *pool.Pools
-	lines    *forward.Lines
-	front    *forward.Server
-	suspects *quarantine.Book // requests that end upstreams
-	lease    *lease.Lease
+	options    Options
+	settings   *Settings
+	clock      *timer.Service
+	log        *zap.Logger
+	start      time.Time
+	guard      *store.Guard
+	kv         store.KV
+	era        *era.Clock
+	pools      *pool.Pools
+	lines      *forward.Lines
+	front      *forward.Server
+	quarantine *quarantine.Book // requests that end upstreams
+	lease      *lease.Lease
 
-	catalogReader *follower
-	listReader    *follower
-	unreadable    unreadable
-	unreadWords   unreadWords
-	news          *news
+	catalogFollower   *follower
+	listFollower      *follower
+	unreadableEntries unreadableEntries
+	unknownNames      unknownNames
+	changes           *changeFeed
 
-	catalog  atomic.Pointer[held]
-	listed   atomic.Bool               // the upstreams have been read once
-	returned atomic.Pointer[time.Time] // when the store last came back from a copy; nil: not while this process ran
-	knows    sync.Once
-	known    chan struct{} // closed when there are a configuration and upstreams
-	phase    atomic.Int32  // of a planned stop, a forward.Phase
-	callers  atomic.Pointer[accept.Listener]
+	catalog         atomic.Pointer[activeCatalog]
+	listed          atomic.Bool               // the upstreams have been read once
+	storeRestoredAt atomic.Pointer[time.Time] // when the store last came back from a copy; nil: not while this process ran
+	initOnce        sync.Once
+	initialized     chan struct{} // closed when there are a configuration and upstreams
+	phase           atomic.Int32  // of a planned stop, a forward.Phase
+	frontListener   atomic.Pointer[accept.Listener]
 
-	mu      sync.Mutex // for what follows
-	quotas  *quota.Quotas
-	repeats map[string]*retry.Window
-	shared  time.Time // when the quotas' present span began
-	looked  bool      // the registry of the nodes has been read
-	usage   *usage.Book
-	peers   *table
-	notes   notes
-	book    *relay.Book     // what this node knows as a relay
-	view    relay.View      // what it knows by its relay
-	home    string          // the relay that it reports to
-	relayed time.Time       // when the last digest came
-	covered map[string]bool // the nodes that it told of
-	placing time.Time       // from when on a relay is asked to place requests
+	mu            sync.Mutex // for what follows
+	quotas        *quota.Quotas
+	retryWindows  map[string]*retry.Window
+	spanStartedAt time.Time // when the quotas' present span began
+	registryRead  bool      // the registry of the nodes has been read
+	usage         *usage.Book
+	peers         *peerTable
+	peerLog       peerLog
+	aggregator    *relay.Book     // what this node knows as a relay
+	relayView     relay.View      // what it knows by its relay
+	homeRelay     string          // the relay that it reports to
+	digestAt      time.Time       // when the last digest came
+	digestNodes   map[string]bool // the nodes that it told of
+	placeRetryAt  time.Time       // from when on a relay is asked to place requests
 
-	othersChange int64         // newest change of the list that other nodes told of
-	behind       time.Time     // since when this node lacks it; zero: it doesn't
-	suspended    time.Duration // as it was told last
-	alone        time.Time     // until when this node watches the store by itself
-	rollouts     rollouts
+	peerListChange   int64         // newest change of the list that other nodes told of
+	behindSince      time.Time     // since when this node lacks it; zero: it doesn't
+	loggedSuspension time.Duration // as it was told last
+	selfWatchUntil   time.Time     // until when this node watches the store by itself
+	rollouts         rollouts
 }
 
 // held is the configuration in force, with the bytes it was read from for a peer that
 // asks.
-type held struct {
+type activeCatalog struct {
 	catalog *catalog.Catalog
 	raw     []byte
 }
@@ -142,40 +142,40 @@
 // New returns a node that isn't started.
 func New(o Options) *Node {
 	s := o.Settings
-	n := &Node{o: o, s: s, clock: o.Clock, log: o.Log, start: o.Clock.Now(), known: make(chan struct{}), repeats: make(map[string]*retry.Window)}
+	n := &Node{options: o, settings: s, clock: o.Clock, log: o.Log, start: o.Clock.Now(), initialized: make(chan struct{}), retryWindows: make(map[string]*retry.Window)}
 	n.pools = pool.New(o.Clock, s.Node, s.Hall)
 	n.pools.SetSenders(nil, nil) // until the other nodes are known
 	n.lines = forward.NewLines(o.Clock)
 	n.quotas = quota.New(n.start, s.FirstStart)
 	n.usage = usage.New(s.Node, o.Incarnation, s.UsageWindow)
-	n.peers = newTable(n)
-	n.book = relay.NewBook(s.Node, o.Incarnation)
-	n.suspects = quarantine.NewBook(s.Node)
+	n.peers = newPeerTable(n)
+	n.aggregator = relay.NewBook(s.Node, o.Incarnation)
+	n.quarantine = quarantine.NewBook(s.Node)
 	n.rollouts = newRollouts()
-	n.catalogReader = n.catalogFollower()
-	n.listReader = n.listFollower()
-	n.unreadable = make(unreadable)
-	n.news = newNews()
-	n.guard = store.NewGuard(o.Clock, n.share())
+	n.catalogFollower = n.newCatalogFollower()
+	n.listFollower = n.newListFollower()
+	n.unreadableEntries = make(unreadableEntries)
+	n.changes = newChangeFeed()
+	n.guard = store.NewGuard(o.Clock, n.storeShare())
 	n.era = o.Era
-	n.era.OnRise(n.eraRose)
+	n.era.OnRise(n.onEraRise)
 	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
 	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.LeaseTTL, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
-		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.known, Catalog: n.current,
-		Place: n.place, Charge: n.charge, Refund: n.refund, Began: n.began, First: n.first, Repeat: n.repeat, Heard: n.heard, Phase: n.stopPhase, Suspects: n.suspects, Reaches: n.reaches,
-		Trials: forward.Trials{Offer: n.offer, Return: n.unoffer, Note: n.noteAnswer, Moves: n.moves},
+		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.initialized, Catalog: n.currentCatalog,
+		Place: n.placeByRelay, Charge: n.charge, Refund: n.refund, Began: n.countStarted, First: n.countFirstAttempt, Repeat: n.allowRetry, Heard: n.observeResponse, Phase: n.stopPhase, Suspects: n.quarantine, Reaches: n.reachesHall,
+		Trials: forward.Trials{Offer: n.offerTrial, Return: n.returnOffer, Note: n.recordResponse, Moves: n.movesStreams},
 	})
 	return n
 }
 
 // share is this node's part of the store's rates.
-func (n *Node) share() store.GuardOptions {
+func (n *Node) storeShare() store.GuardOptions {
 	k := float64(n.peers.size())
-	return store.GuardOptions{Reads: n.s.Store.Reads / k, Writes: n.s.Store.Writes / k, Backoff: storeBackoff}
+	return store.GuardOptions{Reads: n.settings.Store.Reads / k, Writes: n.settings.Store.Writes / k, Backoff: storeBackoff}
 }
 
-func (n *Node) current() *catalog.Catalog {
+func (n *Node) currentCatalog() *catalog.Catalog {
 	if h := n.catalog.Load(); h != nil {
 		return h.catalog
 	}
@@ -183,15 +183,15 @@
 }
 
 // knowsMore lets requests go that wait for a configuration and upstreams, if both are there.
-func (n *Node) knowsMore() {
-	if n.current() != nil && n.listed.Load() {
-		n.knows.Do(func() { close(n.known) })
+func (n *Node) signalInitialized() {
+	if n.currentCatalog() != nil && n.listed.Load() {
+		n.initOnce.Do(func() { close(n.initialized) })
 	}
 }
 
 // accept puts a configuration in force unless it is older than the one that is.
-func (n *Node) accept(raw []byte, source string) {
-	c, err := n.o.DecodeCatalog(raw)
+func (n *Node) applyCatalog(raw []byte, source string) {
+	c, err := n.options.DecodeCatalog(raw)
 	if err != nil {
 		n.log.Error("catalog_invalid", zap.String("source", source), zap.String("cause", err.Error()))
 		return
@@ -202,9 +202,9 @@
 	if old != nil && c.Version() <= old.catalog.Version() {
 		return
 	}
-	n.catalog.Store(&held{catalog: c, raw: raw})
-	n.knowsMore()
-	n.news.announce()
+	n.catalog.Store(&activeCatalog{catalog: c, raw: raw})
+	n.signalInitialized()
+	n.changes.announce()
 	limits := make(map[string]quota.Limit)
 	for _, w := range c.Workspaces() {
 		limits[w.Name()] = quota.Limit{Rate: w.Rate(), Burst: w.Burst()}
@@ -232,7 +232,7 @@
 }
 
 // began counts by the wall clock: usage windows are cut by it.
-func (n *Node) began(workspace string) {
+func (n *Node) countStarted(workspace string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.usage.Add(n.clock.Wall(), workspace)
@@ -240,34 +240,34 @@
 
 // budgetShare is the part of the operators' retry budget that is used: a node that was
 // killed forgets what it spent, and may spend its part again.
-const budgetShare = 0.7
+const retryBudgetShare = 0.7
 
-func (n *Node) window(service string) *retry.Window {
-	a := budgetShare * n.s.RetryExtra / float64(n.peers.size())
-	w := n.repeats[service]
+func (n *Node) retryWindow(service string) *retry.Window {
+	a := retryBudgetShare * n.settings.RetryExtra / float64(n.peers.size())
+	w := n.retryWindows[service]
 	if w == nil {
-		w = retry.NewWindow(budgetShare*n.s.RetryRatio, a, n.s.RetryWindow)
-		n.repeats[service] = w
+		w = retry.NewWindow(retryBudgetShare*n.settings.RetryRatio, a, n.settings.RetryWindow)
+		n.retryWindows[service] = w
 	}
 	w.SetExtra(a)
 	return w
 }
 
-func (n *Node) first(service string) {
+func (n *Node) countFirstAttempt(service string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.window(service).First(n.clock.Since(n.start))
+	n.retryWindow(service).First(n.clock.Since(n.start))
 }
 
-func (n *Node) repeat(service string) bool {
+func (n *Node) allowRetry(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.window(service).Take(n.clock.Since(n.start))
+	return n.retryWindow(service).Take(n.clock.Since(n.start))
 }
 
 var (
-	catalogVersion = expvar.NewInt("catalog_version")
-	storeUp        = expvar.NewMap("store_up") // by reader: 0 in touch, -1 not
-	upstreamEvents = expvar.NewMap("upstream_events")
-	peersHeard     = expvar.NewInt("peers_heard")
+	catalogVersion  = expvar.NewInt("catalog_version")
+	storeUp         = expvar.NewMap("store_up") // by reader: 0 in touch, -1 not
+	upstreamEvents  = expvar.NewMap("upstream_events")
+	responsivePeers = expvar.NewInt("peers_heard")
 )
--- a/internal/edge/notes.go
+++ b/internal/edge/notes.go
@@ -13,32 +13,32 @@
 // were in a round.
 
 // notes counts what was not told by itself since the last round.
-type notes struct {
-	teller bool // this node tells of each other node
-	counts map[string]int
+type peerLog struct {
+	verbose bool // this node tells of each other node
+	counts  map[string]int
 }
 
 // notePeer logs an event of another node, or counts it. The node's lock is held.
-func (n *Node) notePeer(event string, fields ...zap.Field) {
-	if n.notes.teller || pair.Every(n.peers.size()) == pair.Round {
+func (n *Node) logPeer(event string, fields ...zap.Field) {
+	if n.peerLog.verbose || pair.Every(n.peers.size()) == pair.Round {
 		n.log.Info(event, fields...)
 		return
 	}
-	if n.notes.counts == nil {
-		n.notes.counts = make(map[string]int)
+	if n.peerLog.counts == nil {
+		n.peerLog.counts = make(map[string]int)
 	}
-	n.notes.counts[event]++
+	n.peerLog.counts[event]++
 }
 
 // tellPeers logs what was counted in a round, and settles whether this node tells of each
 // other node in the next. The node's lock is held.
-func (n *Node) tellPeers() {
-	n.notes.teller = n.watchesFor(n.clock.Now())
-	if len(n.notes.counts) == 0 {
+func (n *Node) flushPeerLog() {
+	n.peerLog.verbose = n.isWatcherLocked(n.clock.Now())
+	if len(n.peerLog.counts) == 0 {
 		return
 	}
-	c := n.notes.counts
-	n.notes.counts = nil
+	c := n.peerLog.counts
+	n.peerLog.counts = nil
 	n.log.Info("peers_changed", zap.Int("found", c["peer_found"]), zap.Int("heard", c["peer_heard"]), zap.Int("silent", c["peer_silent"]),
 		zap.Int("gone", c["peer_gone"]), zap.Int("known", len(n.peers.peers)))
 }
--- a/internal/edge/ordered.go
+++ b/internal/edge/ordered.go
@@ -21,29 +21,29 @@
 
 // orderedBeyond is how long beyond a boot a new process orders no fewer: a heartbeat or two
 // until what was ordered is listed, in which the load is measured.
-const orderedBeyond = 3 * time.Second
+const orderFloorMargin = 3 * time.Second
 
 // orderedKeeps is how long a new process orders no fewer.
-func (n *Node) orderedKeeps() time.Duration {
+func (n *Node) orderFloorPeriod() time.Duration {
 	boot := time.Duration(0)
-	if c := n.current(); c != nil {
+	if c := n.currentCatalog(); c != nil {
 		for _, name := range c.Services() {
 			if s := c.Service(name).Scaling; s != nil {
 				boot = max(boot, s.Boot)
 			}
 		}
 	}
-	return boot + orderedBeyond
+	return boot + orderFloorMargin
 }
 
 // orderedRecord is what was ordered.
 var orderedRecord = record{name: "ordered", key: "spurhall/ordered"}
 
 // orderedValue is the on-demand counts ordered, by service and hall.
-type orderedValue map[string]map[string]int
+type orderedCounts map[string]map[string]int
 
 // flat is the counts by "service/hall", for the log.
-func (v orderedValue) flat() map[string]int64 {
+func (v orderedCounts) flat() map[string]int64 {
 	r := make(map[string]int64)
 	for s, by := range v {
 		for h, c := range by {
@@ -54,41 +54,41 @@
 }
 
 // ordered is the holder's side of what was ordered.
-type ordered struct {
-	counts  orderedValue // as far as this term has ordered or found
-	written bool
-	found   orderedValue // by the holder before
-	until   time.Time    // until when what was found counts
-	era     int64        // of the term
+type orderFloor struct {
+	counts    orderedCounts // as far as this term has ordered or found
+	isWritten bool
+	previous  orderedCounts // by the holder before
+	until     time.Time     // until when what was found counts
+	era       int64         // of the term
 }
 
 // begin reads what the holder before this term has ordered.
-func (v *ordered) begin(ctx context.Context, n *Node, token int64) {
+func (v *orderFloor) restore(ctx context.Context, n *Node, token int64) {
 	own, before := v.counts, v.era
-	*v = ordered{counts: orderedValue{}, written: true, found: orderedValue{}, until: n.start.Add(n.orderedKeeps()), era: era.Of(token)}
-	if !orderedRecord.read(ctx, n, &v.found) {
-		v.found = orderedValue{}
+	*v = orderFloor{counts: orderedCounts{}, isWritten: true, previous: orderedCounts{}, until: n.start.Add(n.orderFloorPeriod()), era: era.Of(token)}
+	if !orderedRecord.read(ctx, n, &v.previous) {
+		v.previous = orderedCounts{}
 	}
-	for s, by := range v.found {
+	for s, by := range v.previous {
 		maps.DeleteFunc(by, func(_ string, count int) bool { return count < 0 })
 		v.counts[s] = maps.Clone(by)
 	}
 	if v.era > before && len(own) > 0 { // the store may have lost what this holder ordered last
-		v.counts, v.written = own, false
+		v.counts, v.isWritten = own, false
 	}
-	n.log.Info("ordered_found", logging.Counts("counts", v.found.flat()))
+	n.log.Info("ordered_found", logging.Counts("counts", v.previous.flat()))
 }
 
 // least is the fewest that may be ordered now.
-func (v *ordered) least(now time.Time, s subject) int {
+func (v *orderFloor) minCount(now time.Time, s orderKey) int {
 	if s.reclaimable || !now.Before(v.until) {
 		return 0
 	}
-	return v.found[s.service][s.hall]
+	return v.previous[s.service][s.hall]
 }
 
 // note takes in an order that was taken.
-func (v *ordered) note(s subject, count int) {
+func (v *orderFloor) record(s orderKey, count int) {
 	if s.reclaimable || v.counts[s.service][s.hall] == count {
 		return
 	}
@@ -96,14 +96,14 @@
 		v.counts[s.service] = map[string]int{}
 	}
 	v.counts[s.service][s.hall] = count
-	v.written = false
+	v.isWritten = false
 }
 
 // write puts what was ordered into the store, on condition that the term lasts. What can't
 // be written is tried again with the next step.
-func (v *ordered) write(ctx context.Context, n *Node, token int64) {
-	if v.written {
+func (v *orderFloor) write(ctx context.Context, n *Node, token int64) {
+	if v.isWritten {
 		return
 	}
-	v.written = orderedRecord.write(ctx, n, token, v.counts)
+	v.isWritten = orderedRecord.write(ctx, n, token, v.counts)
 }
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -24,64 +24,64 @@
 
 const (
 	// orderAgain is how often a count that the hall doesn't have is ordered again.
-	orderAgain = 2 * time.Second
+	reorderInterval = 2 * time.Second
 	// orderSettle is how long a process watches before it orders: upstreams write their
 	// entries within a heartbeat or two of their start, and a list that is still filling
 	// looks like a pool that is too small.
-	orderSettle = 2 * time.Second
+	settlePeriod = 2 * time.Second
 	// orderRestart is the same for a process that starts amid the work, and for orders of
 	// more only: what it lacks in its list it orders in vain at worst, and what has to be
 	// replaced in a wave can't wait. It is some rounds of reports.
-	orderRestart = 700 * time.Millisecond
+	restartSettlePeriod = 700 * time.Millisecond
 	// orderQuiet is how long a list hasn't grown before fewer are ordered, half a heartbeat:
 	// a large pool lists itself over many seconds, some each moment, and until it has nobody
 	// knows what is too many.
-	orderQuiet = 600 * time.Millisecond
+	listQuietPeriod = 600 * time.Millisecond
 )
 
 // subject is what an order is about.
-type subject struct {
+type orderKey struct {
 	service     string
 	hall        string
 	reclaimable bool
 }
 
-type placed struct {
+type placedOrder struct {
 	count int
 	at    time.Time
 }
 
 type orderer struct {
-	n       *Node
-	mixes   map[string]*autoscale.Mix
-	rates   map[string]*autoscale.Rate
-	orders  map[subject]placed
-	token   int64 // of the term that the orders belong to
-	known   ordered
-	learned learned
-	listed  int       // most upstreams seen in the list
-	grown   time.Time // when the list last grew
+	n          *Node
+	mixes      map[string]*autoscale.Mix
+	rates      map[string]*autoscale.Rate
+	orders     map[orderKey]placedOrder
+	token      int64 // of the term that the orders belong to
+	floor      orderFloor
+	engines    enginesWriter
+	maxListed  int       // most upstreams seen in the list
+	listGrewAt time.Time // when the list last grew
 }
 
 func newOrderer(n *Node) *orderer {
-	return &orderer{n: n, mixes: make(map[string]*autoscale.Mix), rates: make(map[string]*autoscale.Rate), orders: make(map[subject]placed)}
+	return &orderer{n: n, mixes: make(map[string]*autoscale.Mix), rates: make(map[string]*autoscale.Rate), orders: make(map[orderKey]placedOrder)}
 }
 
 // step measures, and orders what is missing.
 func (o *orderer) step(ctx context.Context) {
-	c := o.n.current()
+	c := o.n.currentCatalog()
 	if c == nil {
 		return
 	}
 	now := o.n.clock.Now()
-	if n := len(o.n.pools.Items()); n > o.listed {
-		o.listed, o.grown = n, now
+	if n := len(o.n.pools.Items()); n > o.maxListed {
+		o.maxListed, o.listGrewAt = n, now
 	}
 	token, held := o.n.lease.Token()
 	if held && token != o.token {
-		o.token, o.orders = token, make(map[subject]placed)
-		o.known.begin(ctx, o.n, token)
-		o.learned.begin(ctx, o.n)
+		o.token, o.orders = token, make(map[orderKey]placedOrder)
+		o.floor.restore(ctx, o.n, token)
+		o.engines.restore(ctx, o.n)
 	}
 	engines := make(map[string]capacity.Engine)
 	for _, name := range c.Services() {
@@ -92,31 +92,31 @@
 		if e := o.n.pools.Engine(name); e.Known() {
 			engines[name] = e
 		}
-		load := o.rate(name).Take(now, o.n.workSums(now, name), o.n.silence())
-		publish(name, engines[name], load)
-		halls := o.halls(s)
+		load := o.rate(name).Take(now, o.n.workSums(now, name), o.n.silenceLimit())
+		publishFigures(name, engines[name], load)
+		halls := o.hallStates(s)
 		o.mix(s).Observe(o.n.clock.Since(o.n.start), load, halls)
-		if held && o.n.clock.Since(o.n.start) >= o.patience() {
+		if held && o.n.clock.Since(o.n.start) >= o.observationPeriod() {
 			o.plan(ctx, token, s, halls, load)
 		}
 	}
 	if held {
-		o.known.write(ctx, o.n, token)
-		o.learned.write(ctx, o.n, token, engines)
+		o.floor.write(ctx, o.n, token)
+		o.engines.write(ctx, o.n, token, engines)
 	}
 }
 
 // patience is how long this process watches before it orders anything.
-func (o *orderer) patience() time.Duration {
-	if o.n.s.FirstStart {
-		return orderSettle
+func (o *orderer) observationPeriod() time.Duration {
+	if o.n.settings.FirstStart {
+		return settlePeriod
 	}
-	return orderRestart
+	return restartSettlePeriod
 }
 
 // settled tells whether the list is whole, so that fewer may be ordered.
-func (o *orderer) settled(now time.Time) bool {
-	return now.Sub(o.n.start) >= orderSettle && now.Sub(o.grown) >= orderQuiet
+func (o *orderer) isListComplete(now time.Time) bool {
+	return now.Sub(o.n.start) >= settlePeriod && now.Sub(o.listGrewAt) >= listQuietPeriod
 }
 
 func (o *orderer) rate(service string) *autoscale.Rate {
@@ -130,19 +130,19 @@
 
 // workSums is what each node has sent to a service's engines since it began.
 func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Sum {
-	sums := map[string]autoscale.Sum{n.s.Node: {Value: n.pools.Work()[service], At: now}}
+	sums := map[string]autoscale.Sum{n.settings.Node: {Value: n.pools.Work()[service], At: now}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, p := range n.peers.peers {
 		if p.work != nil {
-			sums[name] = autoscale.Sum{Value: p.work[service], At: p.heard}
+			sums[name] = autoscale.Sum{Value: p.work[service], At: p.lastSeen}
 		}
 	}
 	return sums
 }
 
 // silence is the time after which a node doesn't count as heard.
-func (n *Node) silence() time.Duration {
+func (n *Node) silenceLimit() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return pair.Silent(n.peers.size())
@@ -152,7 +152,7 @@
 	m := o.mixes[s.Name]
 	if m == nil {
 		v := autoscale.MixDefaults(s.Scaling.Boot)
-		v.Fresh = o.n.s.FirstStart
+		v.Fresh = o.n.settings.FirstStart
 		m = autoscale.NewMix(v)
 		o.mixes[s.Name] = m
 	}
@@ -162,19 +162,19 @@
 func (o *orderer) plan(ctx context.Context, token int64, s *catalog.ServiceSpec, halls []autoscale.HallState, load capacity.Work) {
 	m := o.mix(s)
 	spec := autoscale.MixSpec{Min: s.Scaling.Min, Max: s.Scaling.Max, ReclaimablePrice: s.Scaling.SpotPrice}
-	have := make(map[subject]int)
+	have := make(map[orderKey]int)
 	for _, h := range halls {
-		have[subject{s.Name, h.Hall, false}] = h.OnDemand
-		have[subject{s.Name, h.Hall, true}] = h.Reclaimable
+		have[orderKey{s.Name, h.Hall, false}] = h.OnDemand
+		have[orderKey{s.Name, h.Hall, true}] = h.Reclaimable
 	}
 	for _, c := range m.Plan(o.n.clock.Since(o.n.start), spec, halls) {
-		o.want(ctx, token, m, subject{s.Name, c.Hall, true}, c.Reclaimable, have, load)
-		o.want(ctx, token, m, subject{s.Name, c.Hall, false}, c.OnDemand, have, load)
+		o.order(ctx, token, m, orderKey{s.Name, c.Hall, true}, c.Reclaimable, have, load)
+		o.order(ctx, token, m, orderKey{s.Name, c.Hall, false}, c.OnDemand, have, load)
 	}
 }
 
 // halls is what each hall that the service has a price for, or upstreams in, has.
-func (o *orderer) halls(s *catalog.ServiceSpec) []autoscale.HallState {
+func (o *orderer) hallStates(s *catalog.ServiceSpec) []autoscale.HallState {
 	by := make(map[string]*autoscale.HallState)
 	get := func(hall string) *autoscale.HallState {
 		h := by[hall]
@@ -188,9 +188,9 @@
 		}
 		return h
 	}
-	lost := o.n.pools.Lost(o.n.heardHalls())
+	lost := o.n.pools.Lost(o.n.reachableHalls())
 	for _, v := range o.n.pools.Items() {
-		if e := v.Entry; e.Service == s.Name && o.n.inService(e) {
+		if e := v.Entry; e.Service == s.Name && o.n.countsAsCapacity(e) {
 			h := get(e.Hall)
 			switch {
 			case lost[e.ID] && e.Reclaimable:
@@ -206,7 +206,7 @@
 			}
 		}
 	}
-	for hall := range o.n.s.Halls {
+	for hall := range o.n.settings.Halls {
 		if _, ok := s.Scaling.ZonePrices[hall]; ok {
 			get(hall)
 		}
@@ -219,13 +219,13 @@
 }
 
 // heardHalls returns the halls of whose nodes something is heard.
-func (n *Node) heardHalls() map[string]bool {
+func (n *Node) reachableHalls() map[string]bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now, halls := n.clock.Now(), make(map[string]bool)
-	relayed := now.Sub(n.relayed) <= relayedFor
+	relayed := now.Sub(n.digestAt) <= digestLifetime
 	for name, p := range n.peers.peers {
-		if relayed && n.covered[name] || now.Sub(p.heard) <= relayedFor {
+		if relayed && n.digestNodes[name] || now.Sub(p.lastSeen) <= digestLifetime {
 			halls[p.hall] = true
 		}
 	}
@@ -233,28 +233,28 @@
 }
 
 // want orders a count if it changed, or if the hall doesn't have it for a while.
-func (o *orderer) want(ctx context.Context, token int64, m *autoscale.Mix, s subject, count int, have map[subject]int, load capacity.Work) {
+func (o *orderer) order(ctx context.Context, token int64, m *autoscale.Mix, s orderKey, count int, have map[orderKey]int, load capacity.Work) {
 	now := o.n.clock.Now()
-	count = max(count, o.known.least(now, s))
-	if o.n.rollingOut(s.service) {
+	count = max(count, o.floor.minCount(now, s))
+	if o.n.isRollingOut(s.service) {
 		count = max(count, have[s])
 	}
-	if count < have[s] && !o.settled(now) {
+	if count < have[s] && !o.isListComplete(now) {
 		return
 	}
 	old, ordered := o.orders[s]
-	if ordered && old.count == count && (have[s] == count || now.Sub(old.at) < orderAgain) {
+	if ordered && old.count == count && (have[s] == count || now.Sub(old.at) < reorderInterval) {
 		return
 	}
 	if !ordered && have[s] == count {
-		o.orders[s] = placed{count, now}
-		o.known.note(s, count)
+		o.orders[s] = placedOrder{count, now}
+		o.floor.record(s, count)
 		return
 	}
-	err := o.n.o.Cloud.Order(ctx, token, duty.Order{Service: s.service, Hall: s.hall, Count: count, Reclaimable: s.reclaimable})
-	o.orders[s] = placed{count, now}
+	err := o.n.options.Cloud.Order(ctx, token, duty.Order{Service: s.service, Hall: s.hall, Count: count, Reclaimable: s.reclaimable})
+	o.orders[s] = placedOrder{count, now}
 	outcome := "taken"
-	o.known.note(s, count) // also without an answer: it may be carried out
+	o.floor.record(s, count) // also without an answer: it may be carried out
 	switch {
 	case err == nil && s.reclaimable:
 		m.Granted(s.hall)
@@ -269,15 +269,15 @@
 	}
 	e := o.n.pools.Engine(s.service)
 	o.n.log.Info("order", zap.String("service", s.service), zap.String("hall", s.hall), zap.Bool("reclaimable", s.reclaimable), zap.Int("count", count),
-		zap.Int("have", have[s]), zap.Float64("load", hundredths(load.Reading)), zap.Float64("slots", hundredths(load.Slots)), zap.Float64("memory", hundredths(load.Memory)),
-		zap.Stringer("binds", m.Binds()), zap.Float64("reading", hundredths(e.Reading)), zap.Float64("first_ms", hundredths(e.First)), zap.Float64("token_ms", hundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
+		zap.Int("have", have[s]), zap.Float64("load", roundHundredths(load.Reading)), zap.Float64("slots", roundHundredths(load.Slots)), zap.Float64("memory", roundHundredths(load.Memory)),
+		zap.Stringer("binds", m.Binds()), zap.Float64("reading", roundHundredths(e.Reading)), zap.Float64("first_ms", roundHundredths(e.First)), zap.Float64("token_ms", roundHundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
 }
 
 // engineFigures is what is known of engines and what comes, by service.
 var engineFigures = expvar.NewMap("engine")
 
 // publish puts what an order rests on on the metrics address.
-func publish(service string, e capacity.Engine, load capacity.Work) {
+func publishFigures(service string, e capacity.Engine, load capacity.Work) {
 	v, ok := engineFigures.Get(service).(*expvar.Map)
 	if !ok {
 		v = new(expvar.Map)
@@ -297,4 +297,4 @@
 }
 
 // hundredths rounds for a log line.
-func hundredths(x float64) float64 { return math.Round(x*100) / 100 }
+func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -15,8 +15,8 @@
 )
 
 // listing is a node that has listed two reclaimable upstreams in each of two halls.
-func listing(clock *timer.Service) *orderer {
-	n := &Node{peers: &table{}, clock: clock, log: zap.NewNop(), s: &Settings{Hall: "a", Halls: map[string]string{"a": "r", "b": "r"}}, pools: pool.New(clock, "a", "a"), rollouts: newRollouts()}
+func newListedOrderer(clock *timer.Service) *orderer {
+	n := &Node{peers: &peerTable{}, clock: clock, log: zap.NewNop(), settings: &Settings{Hall: "a", Halls: map[string]string{"a": "r", "b": "r"}}, pools: pool.New(clock, "a", "a"), rollouts: newRollouts()}
 	n.pools.Update(func(l *pool.List) {
 		for _, id := range []string{"a1", "a2", "b1", "b2"} {
 			l.Put(pool.Item{Entry: pool.Entry{ID: id, Hall: id[:1], Service: "s", Address: "10.0.0.1:1", Slots: 8, Version: "v1", Reclaimable: true}})
@@ -26,8 +26,8 @@
 }
 
 // hallOf is what a hall has as the orderer sees it.
-func hallOf(o *orderer, hall string) autoscale.HallState {
-	for _, h := range o.halls(&catalog.ServiceSpec{Name: "s", Scaling: &catalog.ScalingSpec{ZonePrices: map[string]float64{"a": 1, "b": 1}}}) {
+func hallStateOf(o *orderer, hall string) autoscale.HallState {
+	for _, h := range o.hallStates(&catalog.ServiceSpec{Name: "s", Scaling: &catalog.ScalingSpec{ZonePrices: map[string]float64{"a": 1, "b": 1}}}) {
 		if h.Hall == hall {
 			return h
 		}
@@ -36,7 +36,7 @@
 }
 
 // unreached is what several other nodes of the hall couldn't reach.
-func unreached(ids ...string) pool.Reach {
+func unreachedUpstreams(ids ...string) pool.Reach {
 	var r pool.Reach
 	for _, id := range ids {
 		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: id, Nodes: 3, Age: 50 * time.Millisecond})
@@ -47,22 +47,22 @@
 // TestDeadUpstreamsAreNoCapacity: while the store is away, upstreams that are gone stay in the
 // list. What several nodes can't reach counts as taken, so a wave is seen by the first hall
 // that it takes; a hall that is cut off keeps what it has.
-func TestDeadUpstreamsAreNoCapacity(t *testing.T) {
+func TestUnreachedUpstreamsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	o := listing(clock.Service())
-	assert.Equal(t, 2, hallOf(o, "a").Reclaimable)
-	r := unreached("a1", "a2")
+	o := newListedOrderer(clock.Service())
+	assert.Equal(t, 2, hallStateOf(o, "a").Reclaimable)
+	r := unreachedUpstreams("a1", "a2")
 	r.Answered = map[string]time.Duration{"a": 100 * time.Millisecond}
 	o.n.pools.TakeReach(r)
 	clock.Advance(2 * time.Second)
-	assert.Equal(t, 0, hallOf(o, "a").Reclaimable)
-	assert.Equal(t, 2, hallOf(o, "a").Leaving)
-	assert.Equal(t, 2, hallOf(o, "b").Reclaimable)
+	assert.Equal(t, 0, hallStateOf(o, "a").Reclaimable)
+	assert.Equal(t, 2, hallStateOf(o, "a").Leaving)
+	assert.Equal(t, 2, hallStateOf(o, "b").Reclaimable)
 	t.Run("but in a hall that is cut off", func(t *testing.T) {
-		o := listing(clock.Service())
-		o.n.pools.TakeReach(unreached("b1", "b2"))
+		o := newListedOrderer(clock.Service())
+		o.n.pools.TakeReach(unreachedUpstreams("b1", "b2"))
 		clock.Advance(2 * time.Second)
-		assert.Equal(t, 2, hallOf(o, "b").Reclaimable)
+		assert.Equal(t, 2, hallStateOf(o, "b").Reclaimable)
 	})
 }
 
@@ -70,14 +70,14 @@
 // when those of the version before are gone.
 func TestUntriedVersionsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	o := listing(clock.Service())
+	o := newListedOrderer(clock.Service())
 	o.n.pools.Update(func(l *pool.List) {
 		l.Put(pool.Item{Entry: pool.Entry{ID: "a3", Hall: "a", Service: "s", Address: "10.0.0.1:1", Slots: 8, Version: "v2", Reclaimable: true}})
 	})
-	o.n.beginTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Revision: 7}, "test")
-	assert.Equal(t, 2, hallOf(o, "a").Reclaimable)
-	assert.True(t, o.n.rollingOut("s"), "none is let go before the end")
+	o.n.startTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Revision: 7}, "test")
+	assert.Equal(t, 2, hallStateOf(o, "a").Reclaimable)
+	assert.True(t, o.n.isRollingOut("s"), "none is let go before the end")
 	o.n.rollouts.trials["s"].Raise(clock.Service().Now(), rollout.StageCompleted)
-	assert.Equal(t, 1, hallOf(o, "a").Reclaimable)
-	assert.False(t, o.n.rollingOut("s"))
+	assert.Equal(t, 1, hallStateOf(o, "a").Reclaimable)
+	assert.False(t, o.n.isRollingOut("s"))
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -28,105 +28,105 @@
 	reportTimeout = 600 * time.Millisecond
 	// lookedBy is how old a process is when the nodes that it has heard from count as all
 	// there are, if the registry can't be read: some rounds.
-	lookedBy = time.Second
+	registryWaitLimit = time.Second
 )
 
 // peer is another node as this one knows it.
 type peer struct {
-	name     string
-	address  string
-	hall     string // empty: not heard yet
-	leaving  bool
-	storeUp  bool // the store answers it
-	cores    float64
-	lifetime string
-	sequence uint64
-	heard    time.Time
-	called   time.Time // by this node
-	listed   time.Time // last seen in the store's registry
-	busy     bool      // a call is under way
-	silent   bool      // its silence was logged
-	failure  string    // of the last call; empty: it was answered
-	client   wireconnect.EdgeClient
-	seldom   wireconnect.EdgeClient // the same, without keeping a connection
-	version  int64                  // of its catalog
-	revision int64                  // of its upstream list
-	work     map[string]capacity.Work
-	trials   []rollout.Word
-	reach    pool.Reach
-	relaying relaying
+	name           string
+	address        string
+	hall           string // empty: not heard yet
+	leaving        bool
+	storeUp        bool // the store answers it
+	cores          float64
+	incarnation    string
+	sequence       uint64
+	lastSeen       time.Time
+	lastCalled     time.Time // by this node
+	lastListed     time.Time // last seen in the store's registry
+	busy           bool      // a call is under way
+	silenceLogged  bool      // its silence was logged
+	lastFailure    string    // of the last call; empty: it was answered
+	client         wireconnect.EdgeClient
+	oneShot        wireconnect.EdgeClient // the same, without keeping a connection
+	catalogVersion int64                  // of its catalog
+	listRevision   int64                  // of its upstream list
+	work           map[string]capacity.Work
+	trials         []rollout.Word
+	reach          pool.Reach
+	relay          relayState
 }
 
 // table is the other nodes. Its fields are guarded by the node's lock.
-type table struct {
+type peerTable struct {
 	n         *Node
 	peers     map[string]*peer
-	transport *http.Client
-	once      *http.Client // closes its connections: for pairs that swap seldom
+	keepAlive *http.Client
+	oneShot   *http.Client // closes its connections: for pairs that swap seldom
 	sequence  uint64
 }
 
 // keepPairs is how often pairs have to swap for their connections to be kept in between. A
 // connection takes 40 kB, half of it at each end (BenchmarkPeerConnections), so a node of 300
 // held 6 MB for peers that it calls each six seconds. Opening them anew is some 25 a second.
-const keepPairs = 2 * time.Second
+const maxKeptInterval = 2 * time.Second
 
-func newTable(n *Node) *table {
+func newPeerTable(n *Node) *peerTable {
 	d := &net.Dialer{Timeout: reportTimeout}
-	return &table{
+	return &peerTable{
 		n: n, peers: make(map[string]*peer),
-		transport: &http.Client{Transport: &http.Transport{
+		keepAlive: &http.Client{Transport: &http.Transport{
 			DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 		}},
-		once: &http.Client{Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}},
+		oneShot: &http.Client{Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}},
 	}
 }
 
 // size is the number of nodes that share quotas and budgets, this one included.
-func (t *table) size() int { return len(t.peers) + 1 }
+func (t *peerTable) size() int { return len(t.peers) + 1 }
 
-func (t *table) get(name, address string) *peer {
+func (t *peerTable) getOrAdd(name, address string) *peer {
 	p := t.peers[name]
 	if p == nil {
 		p = &peer{name: name}
 		t.peers[name] = p
-		t.n.notePeer("peer_found", zap.String("peer", name), zap.String("address", address))
+		t.n.logPeer("peer_found", zap.String("peer", name), zap.String("address", address))
 	}
 	if p.address != address {
 		p.address = address
-		p.client = t.client(address)
-		p.seldom = wireconnect.NewEdgeClient(t.once, "http://"+address)
+		p.client = t.newClient(address)
+		p.oneShot = wireconnect.NewEdgeClient(t.oneShot, "http://"+address)
 	}
 	return p
 }
 
-func (t *table) client(address string) wireconnect.EdgeClient {
-	return wireconnect.NewEdgeClient(t.transport, "http://"+address)
+func (t *peerTable) newClient(address string) wireconnect.EdgeClient {
+	return wireconnect.NewEdgeClient(t.keepAlive, "http://"+address)
 }
 
 // pair returns what a pair's reports go through.
-func (t *table) pair(p *peer) wireconnect.EdgeClient {
-	if pair.Every(t.size()) > keepPairs {
-		return p.seldom
+func (t *peerTable) pairClient(p *peer) wireconnect.EdgeClient {
+	if pair.Every(t.size()) > maxKeptInterval {
+		return p.oneShot
 	}
 	return p.client
 }
 
 // due returns the nodes to call in this round.
-func (t *table) due(now time.Time) []*peer {
+func (t *peerTable) due(now time.Time) []*peer {
 	others := make([]pair.Other, 0, len(t.peers))
 	for _, p := range t.peers {
-		others = append(others, pair.Other{Name: p.name, Heard: p.heard, Called: p.called, Busy: p.busy})
+		others = append(others, pair.Other{Name: p.name, Heard: p.lastSeen, Called: p.lastCalled, Busy: p.busy})
 	}
 	var list []*peer
-	for _, name := range pair.Due(now, t.n.s.Node, others) {
+	for _, name := range pair.Due(now, t.n.settings.Node, others) {
 		list = append(list, t.peers[name])
 	}
 	return list
 }
 
 // names returns the other nodes' names.
-func (t *table) names() []string {
+func (t *peerTable) names() []string {
 	r := make([]string, 0, len(t.peers))
 	for n := range t.peers {
 		r = append(r, n)
@@ -135,50 +135,50 @@
 }
 
 // rounds reports to the others until the context ends.
-func (n *Node) rounds(ctx context.Context) {
-	n.clock.Every(ctx, pair.Round, func(now time.Time) { n.round(ctx, now) })
+func (n *Node) runRounds(ctx context.Context) {
+	n.clock.Every(ctx, pair.Round, func(now time.Time) { n.reportRound(ctx, now) })
 }
 
-func (n *Node) round(ctx context.Context, now time.Time) {
-	report := n.report(pairWindows)
+func (n *Node) reportRound(ctx context.Context, now time.Time) {
+	report := n.buildReport(pairWindows)
 	n.mu.Lock()
-	n.noteSuspension()
-	n.shareQuotas(now)
-	n.guard.SetRates(n.share())
+	n.logSuspension()
+	n.startQuotaSpan(now)
+	n.guard.SetRates(n.storeShare())
 	n.usage.Forget(n.clock.Wall())
 	heard, silent := 0, pair.Silent(n.peers.size())
 	for _, p := range n.peers.peers {
-		if now.Sub(p.heard) <= silent {
+		if now.Sub(p.lastSeen) <= silent {
 			heard++
-		} else if !p.silent && !p.heard.IsZero() {
-			p.silent = true
-			n.notePeer("peer_silent", zap.String("peer", p.name), zap.Duration("for", now.Sub(p.heard)), zap.String("last_call", p.failure))
+		} else if !p.silenceLogged && !p.lastSeen.IsZero() {
+			p.silenceLogged = true
+			n.logPeer("peer_silent", zap.String("peer", p.name), zap.Duration("for", now.Sub(p.lastSeen)), zap.String("last_call", p.lastFailure))
 		}
 	}
 	call := n.peers.due(now)
 	for _, p := range call {
-		p.busy, p.called = true, now
+		p.busy, p.lastCalled = true, now
 	}
-	n.shareLimits(now)
-	n.tellPeers()
-	n.weighTrials(now)
-	reach, relayed := n.hallReach(now), now.Sub(n.relayed) <= relayedFor
+	n.updateLimitSenders(now)
+	n.flushPeerLog()
+	n.evaluateTrials(now)
+	reach, relayed := n.hallReach(now), now.Sub(n.digestAt) <= digestLifetime
 	n.mu.Unlock()
 	if !relayed {
-		n.takeReach(reach)
+		n.applyReach(reach)
 	}
-	peersHeard.Set(int64(heard))
+	responsivePeers.Set(int64(heard))
 	for _, p := range call {
-		go n.tell(ctx, p, report)
+		go n.swapReports(ctx, p, report)
 	}
 }
 
 // noteSuspension tells that the VM was suspended: what was believed before is older than the
 // steady clock says, and timers come late. The node's lock is held.
-func (n *Node) noteSuspension() {
-	if d := n.clock.Suspended(); d > n.suspended {
-		n.log.Warn("vm_suspended", zap.Duration("for", d-n.suspended), zap.Duration("in_all", d))
-		n.suspended = d
+func (n *Node) logSuspension() {
+	if d := n.clock.Suspended(); d > n.loggedSuspension {
+		n.log.Warn("vm_suspended", zap.Duration("for", d-n.loggedSuspension), zap.Duration("in_all", d))
+		n.loggedSuspension = d
 	}
 }
 
@@ -187,8 +187,8 @@
 func (n *Node) hallReach(now time.Time) pool.Reach {
 	var sum pool.Reach
 	for _, p := range n.peers.peers {
-		if p.hall == n.s.Hall {
-			sum = sum.Plus(p.reach, now.Sub(p.heard))
+		if p.hall == n.settings.Hall {
+			sum = sum.Plus(p.reach, now.Sub(p.lastSeen))
 		}
 	}
 	return sum
@@ -196,40 +196,42 @@
 
 // knowsOthers tells whether what this process knows of other nodes is taken for all there are. One that has just
 // begun and that the store doesn't answer isn't alone, though it has heard of nobody. The node's lock is held.
-func (n *Node) knowsOthers(now time.Time) bool { return n.looked || now.Sub(n.start) > lookedBy }
+func (n *Node) knowsPeers(now time.Time) bool {
+	return n.registryRead || now.Sub(n.start) > registryWaitLimit
+}
 
 // shareQuotas begins a new span of the quotas once every pair has had its turn.
-func (n *Node) shareQuotas(now time.Time) {
-	if n.knowsOthers(now) {
+func (n *Node) startQuotaSpan(now time.Time) {
+	if n.knowsPeers(now) {
 		n.quotas.SetPeers(now, n.peers.names())
 	}
 	every, lag := pair.Every(n.peers.size()), time.Duration(0)
-	if now.Sub(n.relayed) <= relayedFor {
-		every, lag = min(every, relaySpan), relayLag
+	if now.Sub(n.digestAt) <= digestLifetime {
+		every, lag = min(every, relayQuotaSpan), maxRelayLag
 	}
-	if now.Sub(n.shared) < every-pair.Round/2 {
+	if now.Sub(n.spanStartedAt) < every-pair.Round/2 {
 		return
 	}
-	n.shared = now
+	n.spanStartedAt = now
 	n.quotas.Round(now, every, lag)
 }
 
 // tell swaps reports with one node.
-func (n *Node) tell(ctx context.Context, p *peer, r *wire.NodeReport) {
+func (n *Node) swapReports(ctx context.Context, p *peer, r *wire.NodeReport) {
 	c, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	n.mu.Lock()
-	client := n.peers.pair(p)
+	client := n.peers.pairClient(p)
 	n.mu.Unlock()
 	a, err := client.Report(c, connect.NewRequest(&wire.ReportRequest{Report: r}))
 	n.mu.Lock()
-	p.busy, p.failure = false, ""
+	p.busy, p.lastFailure = false, ""
 	if err != nil {
-		p.failure = err.Error()
+		p.lastFailure = err.Error()
 	}
 	n.mu.Unlock()
 	if err == nil && a.Msg.Report != nil {
-		n.takeIn(ctx, a.Msg.Report)
+		n.applyReport(ctx, a.Msg.Report)
 	}
 }
 
@@ -238,11 +240,11 @@
 const pairWindows = 5
 
 // report is this node's state, with the counts of so many of the newest usage windows.
-func (n *Node) report(windows int64) *wire.NodeReport {
+func (n *Node) buildReport(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
-		Node: n.s.Node, Lifetime: n.o.Incarnation, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
-		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.s.Hall, Cores: n.s.Cores,
+		Node: n.settings.Node, Lifetime: n.options.Incarnation, Address: n.settings.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
+		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.settings.Hall, Cores: n.settings.Cores,
 	}
 	if h := n.catalog.Load(); h != nil {
 		r.CatalogVersion = h.catalog.Version()
@@ -256,8 +258,8 @@
 	n.peers.sequence++
 	r.Sequence = n.peers.sequence
 	r.Spent = message.SpentToWire(n.quotas.Charged())
-	r.Trials = message.TrialsToWire(n.words())
-	r.Started = message.StartedToWire(n.newest(n.usage.Own(), windows))
+	r.Trials = message.TrialsToWire(n.trialUpdates())
+	r.Started = message.StartedToWire(n.newestWindows(n.usage.Own(), windows))
 	for v, w := range n.pools.Work() {
 		r.Work = append(r.Work, &wire.Work{Service: v, Reading: w.Reading, Slots: w.Slots, Memory: w.Memory})
 	}
@@ -268,7 +270,7 @@
 }
 
 // newest is the newest of some windows.
-func (n *Node) newest(w usage.Windows, windows int64) usage.Windows {
+func (n *Node) newestWindows(w usage.Windows, windows int64) usage.Windows {
 	r := make(usage.Windows, windows)
 	for k := n.usage.Window(n.clock.Wall()); windows > 0; k, windows = k-1, windows-1 {
 		if c := w[k]; c != nil {
@@ -279,41 +281,41 @@
 }
 
 // takeIn takes in another node's report.
-func (n *Node) takeIn(ctx context.Context, r *wire.NodeReport) {
-	if r.GetNode() == "" || r.Node == n.s.Node {
+func (n *Node) applyReport(ctx context.Context, r *wire.NodeReport) {
+	if r.GetNode() == "" || r.Node == n.settings.Node {
 		return
 	}
-	if !n.admitReport(r) {
+	if !n.mergeReport(r) {
 		return
 	}
-	n.hearEra(r.Node, r.ListChange)
-	n.hearSuspicions(r.Suspicions, r.Node)
-	n.hearLimits(r.Limits, r.Node)
+	n.mergeEra(r.Node, r.ListChange)
+	n.mergeSuspicions(r.Suspicions, r.Node)
+	n.mergeLimits(r.Limits, r.Node)
 	engines := make(map[string]capacity.Engine, len(r.Engines))
 	for _, v := range r.Engines {
 		engines[v.Service] = capacity.Engine{Reading: v.Reading, First: v.First, Token: v.Token, Samples: int(v.Samples)}
 	}
 	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
-	n.noteChange(r.Node, r.ListChange)
+	n.recordListChange(r.Node, r.ListChange)
 	n.catchUp(ctx, r)
 }
 
 // admitReport takes in what adds up, and tells whether the report is news.
-func (n *Node) admitReport(r *wire.NodeReport) bool {
+func (n *Node) mergeReport(r *wire.NodeReport) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	p := n.peers.get(r.Node, r.Address)
-	if p.lifetime == r.Lifetime && r.Sequence <= p.sequence {
+	p := n.peers.getOrAdd(r.Node, r.Address)
+	if p.incarnation == r.Lifetime && r.Sequence <= p.sequence {
 		return false
 	}
-	if p.lifetime != r.Lifetime || now.Sub(p.heard) > pair.Silent(n.peers.size()) {
-		n.notePeer("peer_heard", zap.String("peer", r.Node), zap.String("lifetime", r.Lifetime), zap.Int64("catalog", r.CatalogVersion))
+	if p.incarnation != r.Lifetime || now.Sub(p.lastSeen) > pair.Silent(n.peers.size()) {
+		n.logPeer("peer_heard", zap.String("peer", r.Node), zap.String("lifetime", r.Lifetime), zap.Int64("catalog", r.CatalogVersion))
 	}
-	p.lifetime, p.sequence, p.heard, p.silent = r.Lifetime, r.Sequence, now, false
-	p.version, p.revision, p.hall, p.leaving, p.storeUp, p.cores = r.CatalogVersion, r.ListRevision, r.Hall, r.Leaving, r.StoreUp, r.Cores
+	p.incarnation, p.sequence, p.lastSeen, p.silenceLogged = r.Lifetime, r.Sequence, now, false
+	p.catalogVersion, p.listRevision, p.hall, p.leaving, p.storeUp, p.cores = r.CatalogVersion, r.ListRevision, r.Hall, r.Leaving, r.StoreUp, r.Cores
 	p.trials, p.reach = message.TrialsFromWire(r.Trials), message.ReachFromWire(r.Reach)
-	n.hearWords(now, p.trials, r.Node)
+	n.mergeTrials(now, p.trials, r.Node)
 	p.work = make(map[string]capacity.Work, len(r.Work))
 	for _, v := range r.Work {
 		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
@@ -326,17 +328,17 @@
 // catchUp asks a node that knows more, when the store doesn't tell this one.
 func (n *Node) catchUp(ctx context.Context, r *wire.NodeReport) {
 	have := int64(-1)
-	if c := n.current(); c != nil {
+	if c := n.currentCatalog(); c != nil {
 		have = c.Version()
 	}
 	stale := !n.guard.Up() && r.StoreUp && r.ListRevision > n.pools.Revision()
 	if r.CatalogVersion <= have && !stale {
 		return
 	}
-	go n.askFor(ctx, r.Node, have)
+	go n.requestCatchUp(ctx, r.Node, have)
 }
 
-func (n *Node) askFor(ctx context.Context, name string, have int64) {
+func (n *Node) requestCatchUp(ctx context.Context, name string, have int64) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
 	if p == nil || p.client == nil {
@@ -353,9 +355,9 @@
 		return
 	}
 	if a.Msg.CatalogVersion > have && len(a.Msg.Catalog) > 0 {
-		n.accept(a.Msg.Catalog, name)
+		n.applyCatalog(a.Msg.Catalog, name)
 	}
-	n.takeList(name, a.Msg)
+	n.applyList(name, a.Msg)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range a.Msg.Reports {
@@ -364,14 +366,14 @@
 }
 
 // takeList takes a peer's upstream list while the store doesn't answer this node.
-func (n *Node) takeList(name string, m *wire.CatchUpResponse) {
+func (n *Node) applyList(name string, m *wire.CatchUpResponse) {
 	if m.ListRevision <= n.pools.Revision() || n.guard.Up() {
 		return
 	}
 	items := message.ItemsFromWire(m.List)
-	n.update(name, func(now time.Time, l *pool.List) { l.Replace(now, m.ListRevision, items) })
+	n.updateList(name, func(now time.Time, l *pool.List) { l.Replace(now, m.ListRevision, items) })
 	n.listed.Store(true)
-	n.knowsMore()
+	n.signalInitialized()
 }
 
 // edgeService is what other nodes may ask of this one.
@@ -380,9 +382,9 @@
 // Report swaps reports.
 func (s *edgeService) Report(ctx context.Context, r *connect.Request[wire.ReportRequest]) (*connect.Response[wire.ReportResponse], error) {
 	if r.Msg.Report != nil {
-		s.n.takeIn(context.WithoutCancel(ctx), r.Msg.Report)
+		s.n.applyReport(context.WithoutCancel(ctx), r.Msg.Report)
 	}
-	return connect.NewResponse(&wire.ReportResponse{Report: s.n.report(pairWindows)}), nil
+	return connect.NewResponse(&wire.ReportResponse{Report: s.n.buildReport(pairWindows)}), nil
 }
 
 // CatchUp gives what the asker lacks.
@@ -392,7 +394,7 @@
 		a.Catalog, a.CatalogVersion = h.raw, h.catalog.Version()
 	}
 	if v := s.n.pools.Revision(); v > r.Msg.ListRevision {
-		a.ListRevision, a.List = v, s.n.itemsToWire()
+		a.ListRevision, a.List = v, s.n.listToWire()
 	}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
--- a/internal/edge/place.go
+++ b/internal/edge/place.go
@@ -23,23 +23,23 @@
 	placeTimeout = 30 * time.Millisecond
 	// placePause is how long a relay that didn't answer in time isn't asked: until the next
 	// report to it, whose failure makes this node turn to another.
-	placePause = pair.Round
+	placeRetryPause = pair.Round
 )
 
 // place returns the upstream that this node's relay chooses for a request, or nothing if
 // the node is to choose.
-func (n *Node) place(ctx context.Context, v pool.Need) string {
+func (n *Node) placeByRelay(ctx context.Context, v pool.Need) string {
 	n.mu.Lock()
-	p := n.peers.peers[n.home]
+	p := n.peers.peers[n.homeRelay]
 	now := n.clock.Now()
-	ask := now.Sub(n.relayed) <= relayedFor && !now.Before(n.placing)
+	ask := now.Sub(n.digestAt) <= digestLifetime && !now.Before(n.placeRetryAt)
 	n.mu.Unlock()
 	if p == nil || !ask {
 		return ""
 	}
 	c, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	r := &wire.PlaceRequest{Node: n.s.Node, Request: v.ID, Service: v.Service, Prompt: v.Prompt, Output: v.Output}
+	r := &wire.PlaceRequest{Node: n.settings.Node, Request: v.ID, Service: v.Service, Prompt: v.Prompt, Output: v.Output}
 	for _, x := range v.Parts {
 		r.Parts = append(r.Parts, &wire.Part{Id: x.ID, Tokens: int64(x.Tokens)})
 	}
@@ -49,7 +49,7 @@
 	}
 	if err != nil {
 		n.mu.Lock()
-		n.placing = n.clock.Now().Add(placePause)
+		n.placeRetryAt = n.clock.Now().Add(placeRetryPause)
 		n.mu.Unlock()
 		n.log.Info("place_failed", zap.String("request", v.ID), zap.String("relay", p.name), zap.String("cause", err.Error()))
 		return ""
--- a/internal/edge/place_test.go
+++ b/internal/edge/place_test.go
@@ -17,7 +17,7 @@
 
 // TestPlaceForNobody: a request that its node waits for no more isn't placed, and takes nothing of what an
 // upstream takes from all nodes together.
-func TestPlaceForNobody(t *testing.T) {
+func TestLatePlaceRequestIsRejected(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1_700_000_000, 0))
 	p := pool.New(clock.Service(), "relay", "h")
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
--- a/internal/edge/ready_test.go
+++ b/internal/edge/ready_test.go
@@ -16,41 +16,41 @@
 )
 
 // exhausted is a listener of a process that is out of descriptors.
-type exhausted struct{ net.Listener }
+type failingListener struct{ net.Listener }
 
 // Accept fails.
-func (exhausted) Accept() (net.Conn, error) {
+func (failingListener) Accept() (net.Conn, error) {
 	return nil, errors.New("accept: too many open files")
 }
 
 // TestNodeThatTakesNoConnectionIsNotReady: the balancer asks another listener, and would go on
 // sending callers.
-func TestNodeThatTakesNoConnectionIsNotReady(t *testing.T) {
+func TestNotReadyWhileAcceptFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	clock := timer.NewManual(time.Unix(1000, 0))
-	n := &Node{s: &Settings{}, clock: clock.Service(), log: zap.NewNop()}
+	n := &Node{settings: &Settings{}, clock: clock.Service(), log: zap.NewNop()}
 	c, err := catalog.New(catalog.Spec{Version: 1})
 	require.NoError(t, err)
-	n.catalog.Store(&held{catalog: c})
+	n.catalog.Store(&activeCatalog{catalog: c})
 	n.listed.Store(true)
-	assert.True(t, n.ready())
-	w := n.watchFront(exhausted{l})
-	assert.True(t, n.ready())
+	assert.True(t, n.isReady())
+	w := n.monitorFront(failingListener{l})
+	assert.True(t, n.isReady())
 	_, err = w.Accept()
 	assert.Error(t, err)
-	assert.False(t, n.ready())
+	assert.False(t, n.isReady())
 	clock.Advance(accept.Keeps)
-	assert.True(t, n.ready(), "nobody has called since, so it is tried again")
+	assert.True(t, n.isReady(), "nobody has called since, so it is tried again")
 	_, _ = w.Accept()
-	assert.False(t, n.ready())
+	assert.False(t, n.isReady())
 	t.Run("nor one whose listener is closed", func(t *testing.T) {
-		w := n.watchFront(l)
-		assert.True(t, n.ready())
+		w := n.monitorFront(l)
+		assert.True(t, n.isReady())
 		require.NoError(t, l.Close())
 		_, _ = w.Accept()
 		clock.Advance(time.Hour)
-		assert.False(t, n.ready())
+		assert.False(t, n.isReady())
 	})
 }
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -20,33 +20,33 @@
 const (
 	// recallWithin is how long after its start a process waits until it has found the
 	// others: without them it can't tell which engines fall to it.
-	recallWithin = 500 * time.Millisecond
-	recallPoll   = 20 * time.Millisecond
+	cachedWaitLimit = 500 * time.Millisecond
+	cachedPoll      = 20 * time.Millisecond
 )
 
 // recallCached asks this node's part of the engines.
-func (n *Node) recallCached(ctx context.Context) {
-	if n.s.FirstStart || n.o.FetchCachedParts == nil {
+func (n *Node) restoreCachedParts(ctx context.Context) {
+	if n.settings.FirstStart || n.options.FetchCachedParts == nil {
 		return
 	}
 	select {
-	case <-n.known:
+	case <-n.initialized:
 	case <-ctx.Done():
 		return
 	}
-	for n.clock.Since(n.start) < recallWithin && !n.foundOthers() {
-		if n.clock.Sleep(ctx, recallPoll) != nil {
+	for n.clock.Since(n.start) < cachedWaitLimit && !n.hasReadRegistry() {
+		if n.clock.Sleep(ctx, cachedPoll) != nil {
 			return
 		}
 	}
-	for _, e := range n.enginesToAsk() {
+	for _, e := range n.assignedEngines() {
 		if !n.pools.Ask(e) {
 			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "it rests, or has had what it takes"))
 			continue
 		}
 		sent := n.clock.Now()
-		parts, said, err := n.o.FetchCachedParts(ctx, e.Address)
-		n.heard(e, said, sent)
+		parts, said, err := n.options.FetchCachedParts(ctx, e.Address)
+		n.observeResponse(e, said, sent)
 		if err != nil {
 			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Rest), zap.String("cause", err.Error()))
 			continue
@@ -57,25 +57,25 @@
 }
 
 // foundOthers tells whether the registry of the nodes has been read.
-func (n *Node) foundOthers() bool {
+func (n *Node) hasReadRegistry() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.looked
+	return n.registryRead
 }
 
 // enginesToAsk returns the engines of this hall that fall to this node.
-func (n *Node) enginesToAsk() []pool.Entry {
+func (n *Node) assignedEngines() []pool.Entry {
 	n.mu.Lock()
-	relays := relay.Relays(n.hallNodes(n.clock.Now(), n.s.Hall))
+	relays := relay.Relays(n.hallNodes(n.clock.Now(), n.settings.Hall))
 	n.mu.Unlock()
-	c := n.current()
+	c := n.currentCatalog()
 	var list []pool.Entry
 	for _, v := range n.pools.Items() {
 		e := v.Entry
-		if s := c.Service(e.Service); s == nil || s.Engine == nil || e.Hall != n.s.Hall || e.Leaving || len(relays) == 0 {
+		if s := c.Service(e.Service); s == nil || s.Engine == nil || e.Hall != n.settings.Hall || e.Leaving || len(relays) == 0 {
 			continue
 		}
-		if relays[xxhash.Sum64String(e.ID)%uint64(len(relays))] == n.s.Node {
+		if relays[xxhash.Sum64String(e.ID)%uint64(len(relays))] == n.settings.Node {
 			list = append(list, e)
 		}
 	}
--- a/internal/edge/records_test.go
+++ b/internal/edge/records_test.go
@@ -35,50 +35,50 @@
 		ctx, n := t.Context(), newEraNode(t)
 		service := n.clock.Service()
 		n.pools, n.usage, n.quotas, n.rollouts = pool.New(service, "a", "hall-a"), usage.New("a", "l", time.Second), quota.New(service.Now(), false), newRollouts()
-		n.front = forward.NewServer(forward.Options{Clock: service, Log: n.log, Pools: n.pools, Suspects: n.suspects})
-		n.o.OrderPrefix, n.o.DecodeOrder = testOrders, func(string, []byte) (rollout.Order, error) {
+		n.front = forward.NewServer(forward.Options{Clock: service, Log: n.log, Pools: n.pools, Suspects: n.quarantine})
+		n.options.OrderPrefix, n.options.DecodeOrder = testOrderPrefix, func(string, []byte) (rollout.Order, error) {
 			return rollout.Order{Service: "s", Target: "v2", Duration: time.Second}, nil
 		}
-		n.o.EncodeStatus = func(_ rollout.Order, s rollout.Stage) (string, []byte, error) {
-			return testStatus, []byte(s.String()), nil
+		n.options.EncodeStatus = func(_ rollout.Order, s rollout.Stage) (string, []byte, error) {
+			return testStatusKey, []byte(s.String()), nil
 		}
-		n.known = make(chan struct{})
-		close(n.known)
-		n.peers = &table{}
-		token := takeOver(t, n.Node)
+		n.initialized = make(chan struct{})
+		close(n.initialized)
+		n.peers = &peerTable{}
+		token := acquireLease(t, n.Node)
 		var keys []store.Op
-		for _, k := range []string{orderedRecord.key, learnedRecord.key, levelsRecord.key, countedRecord.key, heldRecord.key, eraRecord.key, rollingPrefix + "s"} {
+		for _, k := range []string{orderedRecord.key, enginesRecord.key, levelsRecord.key, usageCountsRecord.key, quarantineRecord.key, eraRecord.key, rolloutStagePrefix + "s"} {
 			keys = append(keys, store.Op{Kind: store.OpPut, Key: k, Value: b})
 		}
 		_, err := n.kv.Txn(ctx, store.Txn{Then: keys})
 		require.NoError(t, err)
 		n.mu.Lock()
-		n.beginTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Second, Revision: 5}, "test")
+		n.startTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Second, Revision: 5}, "test")
 		n.mu.Unlock()
 
-		var o ordered
-		o.begin(ctx, n.Node, token)
-		o.note(subject{"llm", "hall-a", false}, 3)
+		var o orderFloor
+		o.restore(ctx, n.Node, token)
+		o.record(orderKey{"llm", "hall-a", false}, 3)
 		o.write(ctx, n.Node, token)
-		if o.least(service.Now(), subject{"llm", "hall-a", false}) < 0 {
+		if o.minCount(service.Now(), orderKey{"llm", "hall-a", false}) < 0 {
 			t.Error("fewer than none are ordered")
 		}
-		var l learned
-		l.begin(ctx, n.Node)
+		var l enginesWriter
+		l.restore(ctx, n.Node)
 		if e := n.pools.Engine("llm"); e.Reading < 0 || e.Token < 0 || math.IsInf(e.Reading, 0) {
 			t.Errorf("an engine that can't be: %+v", e)
 		}
-		var c counted
-		c.begin(ctx, n.Node)
+		var c usageCountsWriter
+		c.restore(ctx, n.Node)
 		c.write(ctx, n.Node, token)
 		var e eraTerm
-		e.begin(ctx, n.Node, token)
-		n.recallLevels(ctx)
-		n.recallHeld(ctx)
-		n.recallRollouts(ctx)
+		e.restore(ctx, n.Node, token)
+		n.restoreLevels(ctx)
+		n.restoreQuarantine(ctx)
+		n.restoreRollouts(ctx)
 		if s := n.rollouts.trials["s"].Stage(); s < rollout.StageWaiting || s > rollout.StageRolledBack {
 			t.Errorf("a stage that isn't one: %d", s)
 		}
-		newRoller(n.Node).step(ctx, token)
+		newRolloutRunner(n.Node).step(ctx, token)
 	})
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -28,35 +28,35 @@
 	// relayedFor is how long after the last digest a node goes by what relays tell, and
 	// relayLag how old the word of a node is that comes over two relays: two rounds on the
 	// way, and one until the next digest.
-	relayedFor = 4 * pair.Round
-	relayLag   = 3 * pair.Round
+	digestLifetime = 4 * pair.Round
+	maxRelayLag    = 3 * pair.Round
 	// relaySpan is a span of the quotas where digests come in each round.
-	relaySpan = 2 * pair.Round
+	relayQuotaSpan = 2 * pair.Round
 	// relayWindows is how many usage windows a node tells its relay of: the one under way,
 	// and the one before, which may have ended since the last report.
 	relayWindows = 2
 	// reportTakes is what passes at most between the making of a report and its arrival in
 	// calm, so that it may lack what was placed for its node since.
-	reportTakes = 20 * time.Millisecond
+	maxReportDelay = 20 * time.Millisecond
 	// relayFailed is how long a relay that failed isn't asked unless it is heard again.
-	relayFailed = 5 * time.Second
+	relayRetryPause = 5 * time.Second
 )
 
 // relaying is what a node knows of another one as a relay.
-type relaying struct {
-	failed   time.Time // when it last didn't answer
-	called   time.Time // when it was last asked for a swap
-	swapped  time.Time // when it last swapped
-	busy     bool      // a swap is under way
-	lifetime string    // of this process, as it knows it, with the version it knows
-	version  uint64
+type relayState struct {
+	failedAt         time.Time // when it last didn't answer
+	lastCalled       time.Time // when it was last asked for a swap
+	lastSwapped      time.Time // when it last swapped
+	busy             bool      // a swap is under way
+	knownIncarnation string    // of this process, as it knows it, with the version it knows
+	knownVersion     uint64
 }
 
 // relay reports to a relay, or is one, until the context ends. A process that starts does
 // so as soon as it has found the others.
-func (n *Node) relay(ctx context.Context) {
+func (n *Node) runRelay(ctx context.Context) {
 	for !n.relayStep(ctx) {
-		if n.clock.Since(n.start) > lookedBy || n.clock.Sleep(ctx, relayPoll) != nil {
+		if n.clock.Since(n.start) > registryWaitLimit || n.clock.Sleep(ctx, relayPoll) != nil {
 			break
 		}
 	}
@@ -75,36 +75,36 @@
 }
 
 func (n *Node) relayRound(ctx context.Context, now time.Time) {
-	r := n.report(relayWindows)
+	r := n.buildReport(relayWindows)
 	n.mu.Lock()
-	n.book.Expire(now)
-	ordered := n.hallNodes(now, n.s.Hall)
-	if !slices.Contains(relay.Relays(ordered), n.s.Node) {
+	n.aggregator.Expire(now)
+	ordered := n.hallNodes(now, n.settings.Hall)
+	if !slices.Contains(relay.Relays(ordered), n.settings.Node) {
 		n.mu.Unlock()
 		if len(ordered) > 0 {
-			n.reportTo(ctx, relay.Homes(n.s.Node, ordered)[0], r)
+			n.reportToRelay(ctx, relay.Homes(n.settings.Node, ordered)[0], r)
 		}
 		return
 	}
-	n.book.Gather(now, message.RelayReport(r))
-	_, version := n.view.Known(n.s.Node)
-	d := n.book.Digest(now, n.s.Node, version)
-	n.home = n.s.Node
+	n.aggregator.Gather(now, message.RelayReport(r))
+	_, version := n.relayView.Known(n.settings.Node)
+	d := n.aggregator.Digest(now, n.settings.Node, version)
+	n.homeRelay = n.settings.Node
 	n.mu.Unlock()
-	n.takeDigest(n.s.Node, d)
-	n.swapAll(ctx, now)
+	n.applyDigest(n.settings.Node, d)
+	n.swapWithRelays(ctx, now)
 }
 
 // hallNodes returns the nodes of a hall that may be its relays, in order. The node's lock is
 // held.
 func (n *Node) hallNodes(now time.Time, hall string) []string {
 	nodes := make(map[string]float64)
-	if hall == n.s.Hall && !n.isLeaving() {
-		nodes[n.s.Node] = n.s.Cores
+	if hall == n.settings.Hall && !n.isLeaving() {
+		nodes[n.settings.Node] = n.settings.Cores
 	}
 	for _, p := range n.peers.peers {
-		failed := !p.relaying.failed.IsZero() && p.heard.Before(p.relaying.failed) && now.Sub(p.relaying.failed) < relayFailed
-		if p.hall == hall && !p.leaving && !failed && n.isThere(now, p) {
+		failed := !p.relay.failedAt.IsZero() && p.lastSeen.Before(p.relay.failedAt) && now.Sub(p.relay.failedAt) < relayRetryPause
+		if p.hall == hall && !p.leaving && !failed && n.isPresent(now, p) {
 			nodes[p.name] = p.cores
 		}
 	}
@@ -112,16 +112,16 @@
 }
 
 // isThere tells whether another node is heard or stands in the registry. The node's lock is held.
-func (n *Node) isThere(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) <= pair.Silent(n.peers.size()) || now.Sub(p.listed) <= 2*memberLook
+func (n *Node) isPresent(now time.Time, p *peer) bool {
+	return now.Sub(p.lastSeen) <= pair.Silent(n.peers.size()) || now.Sub(p.lastListed) <= 2*registryReadInterval
 }
 
 // relays returns some of the relays of all halls, as this node sees them: of a hall's nodes in order, those that a
 // function of package relay picks. The node's lock is held.
-func (n *Node) relays(now time.Time, some func(ordered []string) []string) []string {
-	list := some(n.hallNodes(now, n.s.Hall))
-	for hall := range n.s.Halls {
-		if hall != n.s.Hall {
+func (n *Node) relaysOfAllHalls(now time.Time, some func(ordered []string) []string) []string {
+	list := some(n.hallNodes(now, n.settings.Hall))
+	for hall := range n.settings.Halls {
+		if hall != n.settings.Hall {
 			list = append(list, some(n.hallNodes(now, hall))...)
 		}
 	}
@@ -130,10 +130,10 @@
 }
 
 // reportTo tells a relay what this node has, and takes in what it knows of the others.
-func (n *Node) reportTo(ctx context.Context, name string, r *wire.NodeReport) {
+func (n *Node) reportToRelay(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
-	lifetime, version := n.view.Known(name)
+	lifetime, version := n.relayView.Known(name)
 	n.mu.Unlock()
 	if p == nil {
 		return
@@ -141,64 +141,64 @@
 	c, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	a, err := p.client.Gather(c, connect.NewRequest(&wire.GatherRequest{Report: r, Lifetime: lifetime, Version: version}))
-	n.noteRelay(p, err)
+	n.recordRelayCall(p, err)
 	if err == nil {
 		n.mu.Lock()
-		n.book.Away(name)
+		n.aggregator.Away(name)
 		n.mu.Unlock()
-		n.takeGathered(name, a.Msg)
+		n.applyGatherResponse(name, a.Msg)
 	}
 }
 
 // takeGathered takes in what a relay answered.
-func (n *Node) takeGathered(name string, a *wire.GatherResponse) {
-	n.takeDigest(name, message.DigestFromWire(a))
-	n.hearSuspicions(a.Suspicions, name)
-	n.hearLimits(a.Limits, name)
+func (n *Node) applyGatherResponse(name string, a *wire.GatherResponse) {
+	n.applyDigest(name, message.DigestFromWire(a))
+	n.mergeSuspicions(a.Suspicions, name)
+	n.mergeLimits(a.Limits, name)
 }
 
 // noteRelay takes in whether a relay answered.
-func (n *Node) noteRelay(p *peer, err error) {
+func (n *Node) recordRelayCall(p *peer, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err == nil {
-		if n.home != p.name {
-			n.home = p.name
+		if n.homeRelay != p.name {
+			n.homeRelay = p.name
 			n.log.Info("relay_in_use", zap.String("relay", p.name))
 		}
 		return
 	}
-	p.relaying.failed = n.clock.Now()
-	if n.home == p.name {
-		n.home = ""
+	p.relay.failedAt = n.clock.Now()
+	if n.homeRelay == p.name {
+		n.homeRelay = ""
 	}
 	n.log.Info("relay_failed", zap.String("relay", p.name), zap.String("cause", err.Error()))
 }
 
 // takeDigest takes in what a relay knows of the other nodes.
-func (n *Node) takeDigest(name string, d relay.Digest) {
+func (n *Node) applyDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
-	words := n.view.Take(now, name, d)
+	words := n.relayView.Take(now, name, d)
 	covered := make(map[string]bool, len(words))
 	for _, w := range words {
 		covered[w.Node] = true
-		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Lifetime && p.sequence > w.Sequence) {
+		if p := n.peers.peers[w.Node]; p != nil && !(p.incarnation == w.Lifetime && p.sequence > w.Sequence) {
 			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
-	n.relayed, n.covered, n.rollouts.others = now, covered, d.Trials
-	n.hearWords(now, d.Trials, name)
-	if name == n.s.Node {
-		n.settle(d.Shares)
+	n.digestAt, n.digestNodes, n.rollouts.digestTrials = now, covered, d.Trials
+	n.mergeTrials(now, d.Trials, name)
+	if name == n.settings.Node {
+		n.confirmPlacements(d.Shares)
 	}
 	n.mu.Unlock()
 	n.pools.TakeShares(d.Shares, covered, d.Placed)
-	n.takeReach(d.Reach)
+	n.applyReach(d.Reach)
 }
 
 // takeReach takes in what the other nodes of the hall couldn't reach.
-func (n *Node) takeReach(r pool.Reach) {
+func (n *Node) applyReach(r pool.Reach) {
 	for _, h := range n.pools.TakeReach(r) {
 		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreached)), zap.Duration("answered", r.Answered[h]))
 	}
@@ -206,51 +206,51 @@
 
 // settle notes that this node places the requests of the nodes of its own share, and drops
 // those that the share tells of by now. The node's lock is held.
-func (n *Node) settle(shares []pool.Share) {
+func (n *Node) confirmPlacements(shares []pool.Share) {
 	shares[0].Whole = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(reportTakes)) })
+	n.pools.Settle(func(node string, at time.Time) bool { return n.aggregator.Heard(node).After(at.Add(maxReportDelay)) })
 }
 
 // swapAll swaps with the other relays whose turn it is.
-func (n *Node) swapAll(ctx context.Context, now time.Time) {
+func (n *Node) swapWithRelays(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var others []pair.Other
-	for _, name := range n.relays(now, relay.Relays) {
+	for _, name := range n.relaysOfAllHalls(now, relay.Relays) {
 		if p := n.peers.peers[name]; p != nil {
-			others = append(others, pair.Other{Name: name, Heard: p.relaying.swapped, Called: p.relaying.called, Busy: p.relaying.busy})
+			others = append(others, pair.Other{Name: name, Heard: p.relay.lastSwapped, Called: p.relay.lastCalled, Busy: p.relay.busy})
 		}
 	}
-	for _, name := range pair.Due(now, n.s.Node, others) {
+	for _, name := range pair.Due(now, n.settings.Node, others) {
 		p := n.peers.peers[name]
-		p.relaying.busy, p.relaying.called = true, now
-		go n.swap(ctx, p)
+		p.relay.busy, p.relay.lastCalled = true, now
+		go n.swapWithRelay(ctx, p)
 	}
 }
 
 // swap tells another relay of this one's nodes, and takes in its word of its own.
-func (n *Node) swap(ctx context.Context, p *peer) {
+func (n *Node) swapWithRelay(ctx context.Context, p *peer) {
 	c, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	n.mu.Lock()
-	g, client := n.groupFor(p.name, p.relaying.lifetime, p.relaying.version), p.client
+	g, client := n.buildGroup(p.name, p.relay.knownIncarnation, p.relay.knownVersion), p.client
 	n.mu.Unlock()
 	a, err := client.Swap(c, connect.NewRequest(&wire.SwapRequest{Group: g}))
 	if err == nil && a.Msg.Group == nil {
 		err = errNoGroup
 	}
 	n.mu.Lock()
-	p.relaying.busy = false
+	p.relay.busy = false
 	if err != nil {
-		if now := n.clock.Now(); p.relaying.failed.Before(p.heard) || now.Sub(p.relaying.failed) > relayFailed {
+		if now := n.clock.Now(); p.relay.failedAt.Before(p.lastSeen) || now.Sub(p.relay.failedAt) > relayRetryPause {
 			n.log.Info("swap_failed", zap.String("relay", p.name), zap.String("cause", err.Error()))
-			p.relaying.failed = now
+			p.relay.failedAt = now
 		}
 		n.mu.Unlock()
 		return
 	}
 	n.mu.Unlock()
-	n.takeGroup(a.Msg.Group)
+	n.applyGroup(a.Msg.Group)
 }
 
 // errNoGroup says that a relay's answer holds nothing.
@@ -258,35 +258,35 @@
 
 // groupFor is this relay's word for another one that knows it up to a version. The node's
 // lock is held.
-func (n *Node) groupFor(name, lifetime string, version uint64) *wire.Group {
-	v := n.book.Group(n.clock.Now(), n.book.Version(lifetime, version))
+func (n *Node) buildGroup(name, lifetime string, version uint64) *wire.Group {
+	v := n.aggregator.Group(n.clock.Now(), n.aggregator.Version(lifetime, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
 	g := message.GroupToWire(v)
-	g.KnownLifetime, g.KnownVersion = n.book.Known(name)
+	g.KnownLifetime, g.KnownVersion = n.aggregator.Known(name)
 	g.Suspicions = n.suspicions()
 	g.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	return g
 }
 
 // takeGroup takes in another relay's word of its nodes.
-func (n *Node) takeGroup(w *wire.Group) {
-	n.hearSuspicions(w.Suspicions, w.Relay)
-	n.hearLimits(w.Limits, w.Relay)
+func (n *Node) applyGroup(w *wire.Group) {
+	n.mergeSuspicions(w.Suspicions, w.Relay)
+	n.mergeLimits(w.Limits, w.Relay)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	g := message.GroupFromWire(w)
-	n.book.TakeIn(now, g)
+	n.aggregator.TakeIn(now, g)
 	for _, c := range g.Changes {
 		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
 	}
-	if n.home == n.s.Node {
-		shares := n.book.Shares(now, n.s.Node)
-		n.settle(shares)
-		n.pools.TakeShares(shares, n.covered, nil)
+	if n.homeRelay == n.settings.Node {
+		shares := n.aggregator.Shares(now, n.settings.Node)
+		n.confirmPlacements(shares)
+		n.pools.TakeShares(shares, n.digestNodes, nil)
 	}
 	if p := n.peers.peers[g.Relay]; p != nil {
-		p.relaying.swapped, p.relaying.lifetime, p.relaying.version = now, w.KnownLifetime, w.KnownVersion
+		p.relay.lastSwapped, p.relay.knownIncarnation, p.relay.knownVersion = now, w.KnownLifetime, w.KnownVersion
 	}
 }
 
@@ -296,12 +296,12 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("the report is missing"))
 	}
 	n, v := s.n, r.Msg.Report
-	n.takeIn(context.WithoutCancel(ctx), v)
+	n.applyReport(context.WithoutCancel(ctx), v)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.book.Gather(now, message.RelayReport(v))
-	d := n.book.Digest(now, v.Node, n.book.Version(r.Msg.Lifetime, r.Msg.Version))
+	n.aggregator.Gather(now, message.RelayReport(v))
+	d := n.aggregator.Digest(now, v.Node, n.aggregator.Version(r.Msg.Lifetime, r.Msg.Version))
 	a := message.DigestToWire(d)
 	a.Suspicions = n.suspicions()
 	a.Limits = message.LimitsToWire(now, n.pools.Limits())
@@ -314,8 +314,8 @@
 	if g == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("the group is missing"))
 	}
-	s.n.takeGroup(g)
+	s.n.applyGroup(g)
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	return connect.NewResponse(&wire.SwapResponse{Group: s.n.groupFor(g.Relay, g.KnownLifetime, g.KnownVersion)}), nil
+	return connect.NewResponse(&wire.SwapResponse{Group: s.n.buildGroup(g.Relay, g.KnownLifetime, g.KnownVersion)}), nil
 }
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -21,60 +21,62 @@
 // told to anybody.
 
 // rollingPrefix begins the store's keys of the stages.
-const rollingPrefix = "spurhall/rollout/"
+const rolloutStagePrefix = "spurhall/rollout/"
 
 // rollingValue is what stands in the store of a roll-out.
-type rollingValue struct {
-	Order   int64         `json:"order"` // revision
-	Target  string        `json:"target"`
-	BeganMs int64         `json:"began_ms"` // of the wall clock
-	SinceMs int64         `json:"since_ms"`
-	Stage   rollout.Stage `json:"stage"`
-	Answers int64         `json:"answers"` // of the target, seen before the stage
-	Seen    int64         `json:"seen"`    // of the target, seen when this was written
-	Failed  int64         `json:"failed"`
+type rolloutStageValue struct {
+	Order     int64         `json:"order"` // revision
+	Target    string        `json:"target"`
+	StartedMs int64         `json:"began_ms"` // of the wall clock
+	SinceMs   int64         `json:"since_ms"`
+	Stage     rollout.Stage `json:"stage"`
+	Answers   int64         `json:"answers"` // of the target, seen before the stage
+	Seen      int64         `json:"seen"`    // of the target, seen when this was written
+	Failed    int64         `json:"failed"`
 }
 
 // rolling is a roll-out as the holder of the duties knows it.
-type rolling struct {
-	state   rollout.State
-	gone    bool          // the order was taken back
-	status  int64         // revision of the status' key; 0: absent
-	written bool          // the status of this order stands there
-	said    time.Time     // when the stage was last written
-	waits   rollout.Cause // that was logged last
+type rolloutState struct {
+	state          rollout.State
+	withdrawn      bool          // the order was taken back
+	statusRevision int64         // revision of the status' key; 0: absent
+	isWritten      bool          // the status of this order stands there
+	writtenAt      time.Time     // when the stage was last written
+	loggedWait     rollout.Cause // that was logged last
 }
 
 // roller is the holder's side.
-type roller struct {
-	n     *Node
-	token int64 // of the term that the states belong to
-	by    map[string]*rolling
+type rolloutRunner struct {
+	n        *Node
+	token    int64 // of the term that the states belong to
+	rollouts map[string]*rolloutState
 }
 
-func newRoller(n *Node) *roller { return &roller{n: n, by: make(map[string]*rolling)} }
+func newRolloutRunner(n *Node) *rolloutRunner {
+	return &rolloutRunner{n: n, rollouts: make(map[string]*rolloutState)}
+}
 
 // step goes on with each roll-out.
-func (r *roller) step(ctx context.Context, token int64) {
+func (r *rolloutRunner) step(ctx context.Context, token int64) {
 	if token != r.token {
-		r.token, r.by = token, make(map[string]*rolling)
+		r.token, r.rollouts = token, make(map[string]*rolloutState)
 	}
-	for _, o := range r.n.orders() {
-		v := r.by[o.Service]
+	for _, o := range r.n.rolloutOrders() {
+		v := r.rollouts[o.Service]
 		if v == nil || v.state.Order.Revision < o.Revision {
 			var err error
 			if v, err = r.read(ctx, o); err != nil {
 				r.n.log.Info("rollout_unread", zap.String("service", o.Service), zap.String("cause", err.Error()))
 				continue
 			}
-			r.by[o.Service] = v
+			r.rollouts[o.Service] = v
 		}
-		r.carryOn(ctx, v)
+		r.advance(ctx, v)
 	}
 }
 
 // orders returns the orders that this node knows of.
-func (n *Node) orders() []rollout.Order {
+func (n *Node) rolloutOrders() []rollout.Order {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []rollout.Order
@@ -86,13 +88,13 @@
 
 // read finds out how far a roll-out has come. The order itself is read, too: this node may
 // have heard of it by others, who tell no duration.
-func (r *roller) read(ctx context.Context, o rollout.Order) (*rolling, error) {
-	v := &rolling{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
+func (r *rolloutRunner) read(ctx context.Context, o rollout.Order) (*rolloutState, error) {
+	v := &rolloutState{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
 	v.state.Since = v.state.Began
 	if err := r.readOrder(ctx, v); err != nil {
 		return nil, err
 	}
-	key, _, err := r.n.o.EncodeStatus(o, rollout.StageWaiting)
+	key, _, err := r.n.options.EncodeStatus(o, rollout.StageWaiting)
 	if err != nil {
 		return nil, err
 	}
@@ -101,18 +103,18 @@
 		return nil, err
 	}
 	if len(status.Pairs) > 0 {
-		v.status = status.Pairs[0].Modified
+		v.statusRevision = status.Pairs[0].Modified
 	}
 	if err := r.readStage(ctx, v); err != nil {
 		return nil, err
 	}
-	r.goOn(v)
+	r.restoreFromTrial(v)
 	return v, nil
 }
 
 // goOn takes in how far this node knows the roll-out to have come, where the store has lost that: an
 // exposure doesn't begin again, and a version that was taken back isn't tried again.
-func (r *roller) goOn(v *rolling) {
+func (r *rolloutRunner) restoreFromTrial(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,20 +122,20 @@
 	if t == nil || t.Order().Revision != v.state.Order.Revision || t.Stage() <= v.state.Stage {
 		return
 	}
-	v.state.Stage, v.state.Since, v.written = t.Stage(), t.Since(), false
+	v.state.Stage, v.state.Since, v.isWritten = t.Stage(), t.Since(), false
 	n.log.Info("rollout_restored", zap.String("service", v.state.Order.Service), zap.Int64("order", v.state.Order.Revision), zap.Stringer("stage", v.state.Stage))
 }
 
-func (r *roller) readOrder(ctx context.Context, v *rolling) error {
-	a, err := r.n.kv.Range(ctx, r.n.o.OrderPrefix+v.state.Order.Service, "")
+func (r *rolloutRunner) readOrder(ctx context.Context, v *rolloutState) error {
+	a, err := r.n.kv.Range(ctx, r.n.options.OrderPrefix+v.state.Order.Service, "")
 	if err != nil {
 		return err
 	}
-	v.gone = len(a.Pairs) == 0 || a.Pairs[0].Modified != v.state.Order.Revision
-	if v.gone {
+	v.withdrawn = len(a.Pairs) == 0 || a.Pairs[0].Modified != v.state.Order.Revision
+	if v.withdrawn {
 		return nil
 	}
-	o, err := r.n.o.DecodeOrder(a.Pairs[0].Key, a.Pairs[0].Value)
+	o, err := r.n.options.DecodeOrder(a.Pairs[0].Key, a.Pairs[0].Value)
 	if err != nil {
 		return err
 	}
@@ -142,12 +144,12 @@
 }
 
 // readStage takes in what the holder before has written of this order.
-func (r *roller) readStage(ctx context.Context, v *rolling) error {
-	a, err := r.n.kv.Range(ctx, rollingPrefix+v.state.Order.Service, "")
+func (r *rolloutRunner) readStage(ctx context.Context, v *rolloutState) error {
+	a, err := r.n.kv.Range(ctx, rolloutStagePrefix+v.state.Order.Service, "")
 	if err != nil || len(a.Pairs) == 0 {
 		return err
 	}
-	var b rollingValue
+	var b rolloutStageValue
 	if err := json.Unmarshal(a.Pairs[0].Value, &b); err != nil {
 		return err
 	}
@@ -155,20 +157,20 @@
 		return nil
 	}
 	if !b.Stage.Known() {
-		return errStage
+		return errUnknownStage
 	}
-	v.written = true
-	v.state.Stage, v.state.Answers, v.state.Seen, v.said = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
-	v.state.Found = v.said
-	v.state.Began, v.state.Since = time.UnixMilli(b.BeganMs), time.UnixMilli(b.SinceMs)
+	v.isWritten = true
+	v.state.Stage, v.state.Answers, v.state.Seen, v.writtenAt = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
+	v.state.Found = v.writtenAt
+	v.state.Began, v.state.Since = time.UnixMilli(b.StartedMs), time.UnixMilli(b.SinceMs)
 	r.n.log.Info("rollout_found", zap.String("service", v.state.Order.Service), zap.Int64("order", b.Order), zap.Stringer("stage", b.Stage),
 		zap.Duration("age", r.n.clock.Since(v.state.Began)))
-	r.tell(v)
+	r.announceStage(v)
 	return nil
 }
 
 // tell lets this node and, by its words, all others know of the stage that stands in the store.
-func (r *roller) tell(v *rolling) {
+func (r *rolloutRunner) announceStage(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,8 +183,8 @@
 }
 
 // carryOn gives a sign of life, and goes to the next stage if it is time.
-func (r *roller) carryOn(ctx context.Context, v *rolling) {
-	if v.state.Stage.Ended() && v.written {
+func (r *rolloutRunner) advance(ctx context.Context, v *rolloutState) {
+	if v.state.Stage.Ended() && v.isWritten {
 		return
 	}
 	f, failed, ok := r.facts(v)
@@ -193,9 +195,9 @@
 	v.state = v.state.Settle(now, f.Answers)
 	next, cause := v.state.Next(now, f)
 	same := next == v.state.Stage
-	if same && v.written {
+	if same && v.isWritten {
 		r.logWait(v, cause, f)
-		if now.Sub(v.said) < rollout.SeenEvery {
+		if now.Sub(v.writtenAt) < rollout.SeenEvery {
 			return
 		}
 	}
@@ -203,24 +205,24 @@
 	if !same {
 		s = s.Go(now, next, f.Answers)
 	}
-	v.said = now
+	v.writtenAt = now
 	if err := r.write(ctx, v, s, f.Answers, failed); err != nil {
 		r.n.log.Info("rollout_unwritten", zap.String("service", s.Order.Service), zap.Stringer("stage", next), zap.String("cause", err.Error()))
-		delete(r.by, s.Order.Service) // what stands there is read anew
+		delete(r.rollouts, s.Order.Service) // what stands there is read anew
 		return
 	}
-	told := same && v.written
-	v.state, v.written = s, true
+	told := same && v.isWritten
+	v.state, v.isWritten = s, true
 	if told {
 		return
 	}
-	v.waits = rollout.CauseNone
-	r.tell(v)
+	v.loggedWait = rollout.CauseNone
+	r.announceStage(v)
 	r.logStage(v, cause, f, failed)
 }
 
 // facts gathers what the next stage is decided by, and signs.
-func (r *roller) facts(v *rolling) (rollout.Facts, int64, bool) {
+func (r *rolloutRunner) facts(v *rolloutState) (rollout.Facts, int64, bool) {
 	n, o := r.n, v.state.Order
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -229,10 +231,10 @@
 		return rollout.Facts{}, 0, false
 	}
 	t.SignNow(n.clock.Now(), r.token)
-	v.gone = v.gone || n.rollouts.gone[o.Service] > o.Revision
+	v.withdrawn = v.withdrawn || n.rollouts.withdrawn[o.Service] > o.Revision
 	answers, failed := t.Total().Answers()
 	f := rollout.Facts{
-		Invalid: o.Check() != nil && !v.gone, Withdrawn: v.gone, Answers: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
+		Invalid: o.Check() != nil && !v.withdrawn, Withdrawn: v.withdrawn, Answers: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
 	}
 	f.Target, f.Others, f.Running = n.pools.Versions(o.Service, o.Target)
 	if !n.listed.Load() {
@@ -243,62 +245,62 @@
 
 // errUnsettled says that somebody else has written, or the term is over.
 // errStage says that the stage in the store is none that this version knows: the holder leaves it to one that does.
-var errStage = errs.NewType("stage").New("the stage in the store isn't known here")
+var errUnknownStage = errs.NewType("stage").New("the stage in the store isn't known here")
 
-var errUnsettled = errs.NewType("unsettled").New("the term is over, or another has written")
+var errNotWritten = errs.NewType("unsettled").New("the term is over, or another has written")
 
-func (r *roller) write(ctx context.Context, v *rolling, s rollout.State, seen, failed int64) error {
-	key, status, err := r.n.o.EncodeStatus(s.Order, s.Stage)
+func (r *rolloutRunner) write(ctx context.Context, v *rolloutState, s rollout.State, seen, failed int64) error {
+	key, status, err := r.n.options.EncodeStatus(s.Order, s.Stage)
 	if err != nil {
 		return err
 	}
-	b, err := json.Marshal(rollingValue{
-		Order: s.Order.Revision, Target: s.Order.Target, BeganMs: s.Began.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Answers, Seen: seen, Failed: failed,
+	b, err := json.Marshal(rolloutStageValue{
+		Order: s.Order.Revision, Target: s.Order.Target, StartedMs: s.Began.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Answers, Seen: seen, Failed: failed,
 	})
 	if err != nil {
 		return err
 	}
 	unchanged := store.Absent(key)
-	if v.status != 0 {
-		unchanged = store.Unmodified(key, v.status)
+	if v.statusRevision != 0 {
+		unchanged = store.Unmodified(key, v.statusRevision)
 	}
 	t := store.Txn{
 		If:   []store.Compare{store.Unmodified(dutyKey, r.token), unchanged},
-		Then: []store.Op{{Kind: store.OpPut, Key: rollingPrefix + s.Order.Service, Value: b}},
+		Then: []store.Op{{Kind: store.OpPut, Key: rolloutStagePrefix + s.Order.Service, Value: b}},
 	}
-	news := !v.written || s.Stage != v.state.Stage
+	news := !v.isWritten || s.Stage != v.state.Stage
 	if news {
 		t.Then = append(t.Then, store.Op{Kind: store.OpPut, Key: key, Value: status})
 	}
 	a, err := r.n.kv.Txn(ctx, t)
 	if err == nil && !a.Succeeded {
-		err = errUnsettled
+		err = errNotWritten
 	}
 	if err == nil && news {
-		v.status = a.Revision
+		v.statusRevision = a.Revision
 	}
 	return err
 }
 
-func (r *roller) logWait(v *rolling, cause rollout.Cause, f rollout.Facts) {
-	if cause == v.waits {
+func (r *rolloutRunner) logWait(v *rolloutState, cause rollout.Cause, f rollout.Facts) {
+	if cause == v.loggedWait {
 		return
 	}
-	v.waits = cause
+	v.loggedWait = cause
 	r.n.log.Info("rollout_waits", zap.String("service", v.state.Order.Service), zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause),
-		zap.Int64("answers", f.Answers), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
+		zap.Int64("answers", f.Answers), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
 }
 
 // rolloutStages is the stage of each service's last roll-out, by its number.
 var rolloutStages = expvar.NewMap("rollout_stage")
 
-func (r *roller) logStage(v *rolling, cause rollout.Cause, f rollout.Facts, failed int64) {
+func (r *rolloutRunner) logStage(v *rolloutState, cause rollout.Cause, f rollout.Facts, failed int64) {
 	o := v.state.Order
 	stage := new(expvar.Int)
 	stage.Set(int64(v.state.Stage))
 	rolloutStages.Set(o.Service, stage)
 	r.n.log.Info("rollout_stage", zap.String("service", o.Service), zap.String("target", o.Target), zap.Int64("order", o.Revision),
 		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.Began)), zap.Duration("duration", o.Duration),
-		zap.Int64("answers", f.Answers), zap.Int64("failed", failed), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
+		zap.Int64("answers", f.Answers), zap.Int64("failed", failed), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
 		zap.Int("upstreams", f.Target), zap.Int("others", f.Others), zap.Int("running", f.Running), zap.Int64("token", r.token))
 }
--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -19,7 +19,7 @@
 )
 
 // rollingTest is a store with an order, and nodes that may hold the duties.
-type rollingTest struct {
+type rolloutTest struct {
 	t     *testing.T
 	clock *timer.Manual
 	kv    store.KV
@@ -27,26 +27,26 @@
 }
 
 const (
-	testOrders = "orders/"
-	testStatus = "status/s"
+	testOrderPrefix = "orders/"
+	testStatusKey   = "status/s"
 )
 
-func newRollingTest(t *testing.T) *rollingTest {
+func newRolloutTest(t *testing.T) *rolloutTest {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	s := httptest.NewServer(standin.NewPlatform(clock.Service()).Handler())
 	t.Cleanup(s.Close)
-	r := &rollingTest{t: t, clock: clock, kv: store.NewGateway(s.URL, 5*time.Second, timer.Real()).KV()}
+	r := &rolloutTest{t: t, clock: clock, kv: store.NewGateway(s.URL, 5*time.Second, timer.Real()).KV()}
 	r.order = rollout.Order{Service: "s", Target: "v2", Duration: 20 * time.Second}
-	a, err := r.kv.Txn(t.Context(), store.Put(testOrders+"s", []byte("20")))
+	a, err := r.kv.Txn(t.Context(), store.Put(testOrderPrefix+"s", []byte("20")))
 	require.NoError(t, err)
 	r.order.Revision = a.Revision
 	return r
 }
 
 // node is one that knows of the order, and of two upstreams of each version.
-func (r *rollingTest) node(name string) *Node {
-	n := holder(r.t, r.kv, r.clock.Service(), name)
-	n.s, n.peers, n.rollouts = &Settings{Node: name, Hall: "a"}, &table{}, newRollouts()
+func (r *rolloutTest) node(name string) *Node {
+	n := newHolder(r.t, r.kv, r.clock.Service(), name)
+	n.settings, n.peers, n.rollouts = &Settings{Node: name, Hall: "a"}, &peerTable{}, newRollouts()
 	n.pools = pool.New(r.clock.Service(), "a", "a")
 	n.pools.Update(func(l *pool.List) {
 		for _, id := range []string{"v1-a", "v1-b", "v2-a", "v2-b"} {
@@ -54,21 +54,21 @@
 		}
 	})
 	n.listed.Store(true)
-	n.o.OrderPrefix = testOrders
-	n.o.DecodeOrder = func(string, []byte) (rollout.Order, error) { return r.order, nil }
-	n.o.EncodeStatus = func(_ rollout.Order, s rollout.Stage) (string, []byte, error) {
-		return testStatus, []byte(s.String()), nil
+	n.options.OrderPrefix = testOrderPrefix
+	n.options.DecodeOrder = func(string, []byte) (rollout.Order, error) { return r.order, nil }
+	n.options.EncodeStatus = func(_ rollout.Order, s rollout.Stage) (string, []byte, error) {
+		return testStatusKey, []byte(s.String()), nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.beginTrial(rollout.Order{Service: "s", Target: "v2", Revision: r.order.Revision}, "test")
+	n.startTrial(rollout.Order{Service: "s", Target: "v2", Revision: r.order.Revision}, "test")
 	return n
 }
 
 // assertStage checks what stands in the store, and what a node goes by.
-func (r *rollingTest) assertStage(n *Node, want rollout.Stage) {
+func (r *rolloutTest) assertStage(n *Node, want rollout.Stage) {
 	r.t.Helper()
-	a, err := r.kv.Range(context.Background(), testStatus, "")
+	a, err := r.kv.Range(context.Background(), testStatusKey, "")
 	require.NoError(r.t, err)
 	require.Len(r.t, a.Pairs, 1)
 	assert.Equal(r.t, want.String(), string(a.Pairs[0].Value))
@@ -76,19 +76,19 @@
 }
 
 // answers lets so many answers of the target be noted at a node.
-func answers(n *Node, count int) {
+func recordResponses(n *Node, count int) {
 	for i := 0; i < count; i++ {
-		n.noteAnswer("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
+		n.recordResponse("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
 		for k := 0; k < 3; k++ {
-			n.noteAnswer("s", "r", -1, rollout.Answer{Begun: true, First: 1})
+			n.recordResponse("s", "r", -1, rollout.Answer{Begun: true, First: 1})
 		}
 	}
 }
 
-func TestHolderCarriesOutAnOrder(t *testing.T) {
-	r := newRollingTest(t)
+func TestHolderAdvancesRollout(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	roll := newRoller(a)
+	roll := newRolloutRunner(a)
 	step := func() {
 		require.NoError(t, a.lease.Step(t.Context()))
 		token, held := a.lease.Token()
@@ -97,14 +97,14 @@
 	}
 	step()
 	r.assertStage(a, rollout.StageTrial)
-	answers(a, 60)
+	recordResponses(a, 60)
 	for i := 0; i < 26; i++ {
 		r.clock.Advance(500 * time.Millisecond)
 		step()
 	}
 	r.assertStage(a, rollout.StageFifth)
 	for i := 0; i < 60; i++ {
-		answers(a, 5)
+		recordResponses(a, 5)
 		r.clock.Advance(100 * time.Millisecond)
 		step()
 	}
@@ -112,14 +112,14 @@
 }
 
 // TestSuccessorGoesOn: the stage and the time since the order stand in the store.
-func TestSuccessorGoesOn(t *testing.T) {
-	r := newRollingTest(t)
+func TestSuccessorResumesRollout(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	newRoller(a).step(t.Context(), takeOver(t, a))
+	newRolloutRunner(a).step(t.Context(), acquireLease(t, a))
 	r.clock.Advance(16 * time.Second) // a's lease is over, and the first step's last moment nearly
 	b := r.node("b")
-	roll := newRoller(b)
-	token := takeOver(t, b)
+	roll := newRolloutRunner(b)
+	token := acquireLease(t, b)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageTrial)
 	assert.True(t, b.rollouts.trials["s"].Signed(r.clock.Service().Now()))
@@ -130,30 +130,30 @@
 
 // TestDeposedHolderRaisesNothing: whoever has lost the lease without noticing writes nothing,
 // and goes to no stage.
-func TestDeposedHolderRaisesNothing(t *testing.T) {
-	r := newRollingTest(t)
+func TestDeposedHolderWritesNothing(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	old := takeOver(t, a)
+	old := acquireLease(t, a)
 	r.clock.Advance(4 * time.Second)
 	b := r.node("b")
-	takeOver(t, b)
-	newRoller(a).step(t.Context(), old)
-	v, err := r.kv.Range(t.Context(), testStatus, "")
+	acquireLease(t, b)
+	newRolloutRunner(a).step(t.Context(), old)
+	v, err := r.kv.Range(t.Context(), testStatusKey, "")
 	require.NoError(t, err)
 	assert.Empty(t, v.Pairs)
 	assert.Equal(t, rollout.StageWaiting, a.rollouts.trials["s"].Stage())
 }
 
 // TestStageNeedsTheStore: what the store hasn't taken isn't told to anybody.
-func TestStageNeedsTheStore(t *testing.T) {
-	r := newRollingTest(t)
+func TestStageIsAnnouncedAfterWrite(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	token := takeOver(t, a)
+	token := acquireLease(t, a)
 	down := a.kv
 	down.Txn = func(context.Context, store.Txn) (store.TxnResult, error) { return store.TxnResult{}, store.ErrUnknown }
 	up := a.kv
 	a.kv = down
-	roll := newRoller(a)
+	roll := newRolloutRunner(a)
 	roll.step(t.Context(), token)
 	assert.Equal(t, rollout.StageWaiting, a.rollouts.trials["s"].Stage())
 	a.kv = up
@@ -162,12 +162,12 @@
 }
 
 // TestOrderTakenBack: nothing more goes to a target whose order is gone.
-func TestOrderTakenBack(t *testing.T) {
-	r := newRollingTest(t)
+func TestWithdrawnOrder(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	roll, token := newRoller(a), takeOver(t, a)
+	roll, token := newRolloutRunner(a), acquireLease(t, a)
 	roll.step(t.Context(), token)
-	a.takeBack(testOrders+"s", r.order.Revision+5)
+	a.withdrawOrder(testOrderPrefix+"s", r.order.Revision+5)
 	roll.step(t.Context(), token)
 	r.assertStage(a, rollout.StageRolledBack)
 	for i := 0; i < 20; i++ {
@@ -177,16 +177,16 @@
 
 // TestNewerOrderTakesThePlace: the version of an order that another one follows takes nothing
 // more.
-func TestNewerOrderTakesThePlace(t *testing.T) {
-	r := newRollingTest(t)
+func TestNewerOrderReplacesOlder(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
 	a.mu.Lock()
-	a.beginTrial(rollout.Order{Service: "s", Target: "v3", Revision: r.order.Revision + 1}, "test")
-	a.beginTrial(r.order, "an old word")
+	a.startTrial(rollout.Order{Service: "s", Target: "v3", Revision: r.order.Revision + 1}, "test")
+	a.startTrial(r.order, "an old word")
 	a.mu.Unlock()
 	assert.Equal(t, "v3", a.rollouts.trials["s"].Order().Target)
-	assert.False(t, a.inService(pool.Entry{Service: "s", Version: "v2"}))
-	assert.True(t, a.inService(pool.Entry{Service: "s", Version: "v1"}))
+	assert.False(t, a.countsAsCapacity(pool.Entry{Service: "s", Version: "v2"}))
+	assert.True(t, a.countsAsCapacity(pool.Entry{Service: "s", Version: "v1"}))
 	for i := 0; i < 20; i++ {
 		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
@@ -197,7 +197,7 @@
 // copy; the order has come again since, by a revision of the next era. Each reader takes the stage for the
 // order's: a process that begins, and a holder that takes over. A stage of another order, or of another target,
 // isn't.
-func TestStageOfAnEraBefore(t *testing.T) {
+func TestStageOfPreviousEra(t *testing.T) {
 	revision := func(e, n int64) int64 {
 		v, err := era.Revision(e, n)
 		require.NoError(t, err)
@@ -205,34 +205,34 @@
 	}
 	for _, v := range []struct {
 		name   string
-		stands rollingValue
+		stands rolloutStageValue
 		taken  bool
 	}{
-		{"of the era before", rollingValue{Order: revision(1, 9), Target: "v2"}, true},
-		{"of this order", rollingValue{Order: revision(2, 5), Target: "v2"}, true},
-		{"of another order in this era", rollingValue{Order: revision(2, 4), Target: "v2"}, false},
-		{"of another target", rollingValue{Order: revision(1, 9), Target: "v3"}, false},
+		{"of the era before", rolloutStageValue{Order: revision(1, 9), Target: "v2"}, true},
+		{"of this order", rolloutStageValue{Order: revision(2, 5), Target: "v2"}, true},
+		{"of another order in this era", rolloutStageValue{Order: revision(2, 4), Target: "v2"}, false},
+		{"of another target", rolloutStageValue{Order: revision(1, 9), Target: "v3"}, false},
 	} {
 		v.stands.Stage = rollout.StageCompleted
 		newNode := func(t *testing.T) *Node {
-			r := newRollingTest(t)
+			r := newRolloutTest(t)
 			r.order.Revision = revision(2, 5)
 			b, err := json.Marshal(v.stands)
 			require.NoError(t, err)
-			_, err = r.kv.Txn(t.Context(), store.Put(rollingPrefix+"s", b))
+			_, err = r.kv.Txn(t.Context(), store.Put(rolloutStagePrefix+"s", b))
 			require.NoError(t, err)
 			return r.node("a")
 		}
 		t.Run(v.name+", a process that begins", func(t *testing.T) {
 			n := newNode(t)
-			n.known = make(chan struct{})
-			close(n.known)
-			n.recallRollouts(t.Context())
+			n.initialized = make(chan struct{})
+			close(n.initialized)
+			n.restoreRollouts(t.Context())
 			assert.Equal(t, v.taken, n.rollouts.trials["s"].Stage() == rollout.StageCompleted)
 		})
 		t.Run(v.name+", a holder", func(t *testing.T) {
 			n := newNode(t)
-			state, err := newRoller(n).read(t.Context(), n.rollouts.trials["s"].Order())
+			state, err := newRolloutRunner(n).read(t.Context(), n.rollouts.trials["s"].Order())
 			require.NoError(t, err)
 			assert.Equal(t, v.taken, state.state.Stage == rollout.StageCompleted)
 			assert.Equal(t, v.taken, n.rollouts.trials["s"].Stage() == rollout.StageCompleted, "and lets others know")
@@ -240,13 +240,13 @@
 	}
 }
 
-func TestWhatStandsInTheStore(t *testing.T) {
-	r := newRollingTest(t)
+func TestStoredStageValue(t *testing.T) {
+	r := newRolloutTest(t)
 	a := r.node("a")
-	newRoller(a).step(t.Context(), takeOver(t, a))
-	v, err := r.kv.Range(t.Context(), rollingPrefix+"s", "")
+	newRolloutRunner(a).step(t.Context(), acquireLease(t, a))
+	v, err := r.kv.Range(t.Context(), rolloutStagePrefix+"s", "")
 	require.NoError(t, err)
-	var b rollingValue
+	var b rolloutStageValue
 	require.NoError(t, json.Unmarshal(v.Pairs[0].Value, &b))
-	assert.Equal(t, rollingValue{Order: r.order.Revision, Target: "v2", BeganMs: 1_000_000, SinceMs: 1_000_000, Stage: rollout.StageTrial}, b)
+	assert.Equal(t, rolloutStageValue{Order: r.order.Revision, Target: "v2", StartedMs: 1_000_000, SinceMs: 1_000_000, Stage: rollout.StageTrial}, b)
 }
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -25,19 +25,19 @@
 
 // rollouts is what this node knows of roll-outs. It is guarded by the node's lock.
 type rollouts struct {
-	trials map[string]*rollout.Trial  // by service
-	barred map[string]map[string]bool // versions that take nothing any more, by service
-	gone   map[string]int64           // revision at which an order was taken back, by service
-	others []rollout.Word             // as the relay told last
+	trials       map[string]*rollout.Trial  // by service
+	barred       map[string]map[string]bool // versions that take nothing any more, by service
+	withdrawn    map[string]int64           // revision at which an order was taken back, by service
+	digestTrials []rollout.Word             // as the relay told last
 }
 
 func newRollouts() rollouts {
-	return rollouts{trials: make(map[string]*rollout.Trial), barred: make(map[string]map[string]bool), gone: make(map[string]int64)}
+	return rollouts{trials: make(map[string]*rollout.Trial), barred: make(map[string]map[string]bool), withdrawn: make(map[string]int64)}
 }
 
 // takeOrder takes in a pair of the operators' keys that is an order.
-func (n *Node) takeOrder(p store.Pair, source string) {
-	o, err := n.o.DecodeOrder(p.Key, p.Value)
+func (n *Node) applyOrder(p store.Pair, source string) {
+	o, err := n.options.DecodeOrder(p.Key, p.Value)
 	if err != nil {
 		n.log.Error("rollout_unreadable", zap.String("key", p.Key), zap.Int64("revision", p.Modified), zap.String("cause", err.Error()))
 		return
@@ -45,15 +45,15 @@
 	o.Revision = p.Modified
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.beginTrial(o, source)
+	n.startTrial(o, source)
 }
 
 // takeBack takes in that the key of an order is gone.
-func (n *Node) takeBack(key string, revision int64) {
+func (n *Node) withdrawOrder(key string, revision int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	service := key[len(n.o.OrderPrefix):]
-	n.rollouts.gone[service] = revision
+	service := key[len(n.options.OrderPrefix):]
+	n.rollouts.withdrawn[service] = revision
 	if t := n.rollouts.trials[service]; t != nil {
 		n.log.Info("rollout_withdrawn", zap.String("service", service), zap.Int64("order", t.Order().Revision), zap.Int64("revision", revision))
 	}
@@ -61,16 +61,16 @@
 
 // recallRollouts reads how far the roll-outs are that this process found when it started: after
 // the end of one, the version before is gone.
-func (n *Node) recallRollouts(ctx context.Context) {
+func (n *Node) restoreRollouts(ctx context.Context) {
 	select {
-	case <-n.known:
+	case <-n.initialized:
 	case <-ctx.Done():
 		return
 	}
-	if len(n.orders()) == 0 {
+	if len(n.rolloutOrders()) == 0 {
 		return
 	}
-	a, err := n.kv.Range(ctx, rollingPrefix, store.PrefixEnd(rollingPrefix))
+	a, err := n.kv.Range(ctx, rolloutStagePrefix, store.PrefixEnd(rolloutStagePrefix))
 	if err != nil {
 		n.log.Info("rollout_unread", zap.String("cause", err.Error()))
 		return
@@ -79,16 +79,16 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	for _, p := range a.Pairs {
-		var v rollingValue
+		var v rolloutStageValue
 		if err := json.Unmarshal(p.Value, &v); err != nil {
 			n.log.Warn("rollout_unread", zap.String("key", p.Key), zap.String("cause", err.Error()))
 			continue
 		}
 		if !v.Stage.Known() {
-			n.log.Warn("rollout_unread", zap.String("key", p.Key), zap.String("cause", errStage.Error()))
+			n.log.Warn("rollout_unread", zap.String("key", p.Key), zap.String("cause", errUnknownStage.Error()))
 			continue
 		}
-		service := p.Key[len(rollingPrefix):]
+		service := p.Key[len(rolloutStagePrefix):]
 		if t := n.rollouts.trials[service]; t != nil && (t.Order().Revision == v.Order || t.Order().Continues(v.Order, v.Target)) {
 			t.Raise(now, v.Stage)
 			n.applySplit(now, service)
@@ -99,7 +99,7 @@
 
 // beginTrial begins this node's side of an order, if it is newer than what it knows. The
 // node's lock is held.
-func (n *Node) beginTrial(o rollout.Order, source string) {
+func (n *Node) startTrial(o rollout.Order, source string) {
 	r := &n.rollouts
 	old := r.trials[o.Service]
 	if old != nil && o.Revision <= old.Order().Revision {
@@ -120,16 +120,16 @@
 		bars[old.Order().Target] = true
 	}
 	delete(bars, o.Target)
-	r.trials[o.Service] = rollout.NewTrial(o, n.s.Exposure, func(string) float64 { return rand.Float64() })
+	r.trials[o.Service] = rollout.NewTrial(o, n.settings.Exposure, func(string) float64 { return rand.Float64() })
 	n.log.Info("rollout_ordered", zap.String("service", o.Service), zap.String("target", o.Target), zap.Duration("duration", o.Duration),
 		zap.Int64("order", o.Revision), zap.String("source", source))
 	n.applySplit(n.clock.Now(), o.Service)
 }
 
 // hearWords takes in what is known of roll-outs elsewhere. The node's lock is held.
-func (n *Node) hearWords(now time.Time, words []rollout.Word, source string) {
+func (n *Node) mergeTrials(now time.Time, words []rollout.Word, source string) {
 	for _, w := range words {
-		n.beginTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
+		n.startTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
 		stage, stopped := t.Stage(), t.Stopped()
 		t.Hear(now, w)
@@ -142,12 +142,12 @@
 }
 
 // weighTrials judges by what all nodes see, and keeps the pools to it. The node's lock is held.
-func (n *Node) weighTrials(now time.Time) {
+func (n *Node) evaluateTrials(now time.Time) {
 	if len(n.rollouts.trials) == 0 {
 		return
 	}
-	others := n.rollouts.others
-	if now.Sub(n.relayed) > relayedFor {
+	others := n.rollouts.digestTrials
+	if now.Sub(n.digestAt) > digestLifetime {
 		others = nil
 		for _, p := range n.peers.peers {
 			others = rollout.Merge(others, p.trials)
@@ -165,7 +165,7 @@
 
 // words is what this node tells of roll-outs. The node's lock is held, and the words are to be
 // turned into messages under it.
-func (n *Node) words() []rollout.Word {
+func (n *Node) trialUpdates() []rollout.Word {
 	var list []rollout.Word
 	for _, t := range n.rollouts.trials {
 		list = append(list, t.Word())
@@ -193,12 +193,12 @@
 func (n *Node) logStop(t *rollout.Trial, source string) {
 	v := t.Verdict()
 	n.log.Warn("rollout_stopped", zap.String("service", t.Order().Service), zap.Int64("order", t.Order().Revision), zap.Stringer("stage", t.Stage()),
-		zap.Stringer("reason", v.Reason), zap.String("route", v.Route), zap.Float64("sum", hundredths(v.Sum)),
-		zap.Float64("target_rate", hundredths(v.Target)), zap.Float64("others_rate", hundredths(v.Others)), zap.String("source", source))
+		zap.Stringer("reason", v.Reason), zap.String("route", v.Route), zap.Float64("sum", roundHundredths(v.Sum)),
+		zap.Float64("target_rate", roundHundredths(v.Target)), zap.Float64("others_rate", roundHundredths(v.Others)), zap.String("source", source))
 }
 
 // offer tells whether a request goes to a version on trial.
-func (n *Node) offer(service, route string) bool {
+func (n *Node) offerTrial(service, route string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
@@ -206,7 +206,7 @@
 }
 
 // unoffer takes back an offer that couldn't be kept.
-func (n *Node) unoffer(service, route string) {
+func (n *Node) returnOffer(service, route string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if t := n.rollouts.trials[service]; t != nil {
@@ -215,7 +215,7 @@
 }
 
 // noteAnswer takes in an answer of a service under a roll-out.
-func (n *Node) noteAnswer(service, route string, rank int, a rollout.Answer) {
+func (n *Node) recordResponse(service, route string, rank int, a rollout.Answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
@@ -229,7 +229,7 @@
 }
 
 // moves tells whether streams at other versions than the target are to go on at the target.
-func (n *Node) moves(service string) bool {
+func (n *Node) movesStreams(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
@@ -237,16 +237,16 @@
 		return false
 	}
 	now := n.clock.Now()
-	return t.Side(now) == rollout.SideTarget && now.Sub(t.Since()) >= movesAfter
+	return t.Side(now) == rollout.SideTarget && now.Sub(t.Since()) >= moveDelay
 }
 
 // movesAfter is how long after a node has learned that the target gets everything it moves the
 // streams that still run elsewhere: half of the shorter ones have ended by then.
-const movesAfter = 700 * time.Millisecond
+const moveDelay = 700 * time.Millisecond
 
 // inService tells whether an upstream counts as capacity of its service: one of an untried
 // version doesn't, nor does one of a version that is about to be stopped.
-func (n *Node) inService(e pool.Entry) bool {
+func (n *Node) countsAsCapacity(e pool.Entry) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[e.Service]
@@ -263,7 +263,7 @@
 
 // rollingOut tells whether a service's upstreams are being replaced: none of the version in
 // service is let go before the end.
-func (n *Node) rollingOut(service string) bool {
+func (n *Node) isRollingOut(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -30,17 +30,17 @@
 // process ends when nothing is in progress, or shortly before it would be killed.
 
 const (
-	maxHeader   = 64 << 10
-	readHeader  = 15 * time.Second  // callers keep to less
-	idleCallers = 180 * time.Second // callers keep to less
+	maxHeaderBytes    = 64 << 10
+	readHeaderTimeout = 15 * time.Second  // callers keep to less
+	idleTimeout       = 180 * time.Second // callers keep to less
 	// stopTakes is how long after the stop signal requests are still begun: the balancer
 	// needs two failed questions, a second apart, to send callers elsewhere.
-	stopTakes    = 2500 * time.Millisecond
-	stopMinimum  = 3 * time.Second
-	stopMargin   = 600 * time.Millisecond // before the kill
-	stopPoll     = 50 * time.Millisecond
-	stopQuiet    = 300 * time.Millisecond
-	peerDeadline = 5 * time.Second
+	stopAcceptPeriod = 2500 * time.Millisecond
+	minStopTime      = 3 * time.Second
+	stopMargin       = 600 * time.Millisecond // before the kill
+	stopPoll         = 50 * time.Millisecond
+	stopQuietPeriod  = 300 * time.Millisecond
+	peerDeadline     = 5 * time.Second
 )
 
 // Listeners is the addresses that a node serves on, already open.
@@ -73,51 +73,51 @@
 }
 
 // traffic knows how many requests are in progress and when the last one came.
-type traffic struct {
-	mu   sync.Mutex
-	busy int
-	last time.Time
+type requestTracker struct {
+	mu          sync.Mutex
+	inFlight    int
+	lastStarted time.Time
 }
 
-func (t *traffic) begin(now time.Time) {
+func (t *requestTracker) start(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.busy++
-	t.last = now
+	t.inFlight++
+	t.lastStarted = now
 }
 
-func (t *traffic) end() {
+func (t *requestTracker) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.busy--
+	t.inFlight--
 }
 
-func (t *traffic) quiet(now time.Time) bool {
+func (t *requestTracker) isQuiet(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.busy == 0 && now.Sub(t.last) > stopQuiet
+	return t.inFlight == 0 && now.Sub(t.lastStarted) > stopQuietPeriod
 }
 
 // Run serves until the context ends, then stops without cutting a request off.
 func (n *Node) Run(ctx context.Context, l *Listeners) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var t traffic
+	var t requestTracker
 	front := n.server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		t.begin(n.clock.Now())
+		t.start(n.clock.Now())
 		defer t.end()
 		n.front.ServeHTTP(w, r)
 	}))
 	ready := n.server(http.HandlerFunc(n.serveReady))
 	peers := n.server(n.peerHandler())
-	go n.serve(front, n.watchFront(l.Front))
+	go n.serve(front, n.monitorFront(l.Front))
 	go n.serve(ready, l.Readiness)
 	go n.serve(peers, l.Peers)
 	if l.Metrics != nil {
 		go n.serve(n.server(http.HandlerFunc(n.serveMetrics)), l.Metrics)
 	}
 	var duties sync.WaitGroup
-	for _, f := range []func(context.Context){n.watch, n.expire, n.rounds, n.relay, n.register, n.look, n.greet, n.recallLevels, n.recallCached, n.recallRollouts, n.recallHeld, n.duties} {
+	for _, f := range []func(context.Context){n.followStore, n.expireMissing, n.runRounds, n.runRelay, n.register, n.pollRegistry, n.contactSeeds, n.restoreLevels, n.restoreCachedParts, n.restoreRollouts, n.restoreQuarantine, n.runDuties} {
 		duties.Add(1)
 		go func() {
 			defer duties.Done()
@@ -133,7 +133,7 @@
 
 func (n *Node) server(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: readHeader, IdleTimeout: idleCallers,
+		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: log.New(logWriter{n.log}, "", 0),
 	}
 }
@@ -158,24 +158,24 @@
 
 // ready tells whether this node should get callers: it knows the configuration and the
 // upstreams, and isn't stopping.
-func (n *Node) ready() bool {
-	return n.current() != nil && n.listed.Load() && !n.isLeaving() && !n.takesNobody()
+func (n *Node) isReady() bool {
+	return n.currentCatalog() != nil && n.listed.Load() && !n.isLeaving() && !n.cannotAccept()
 }
 
 // watchFront notes when callers can't be taken.
-func (n *Node) watchFront(l net.Listener) net.Listener {
-	w := accept.New(l, n.clock, n.log, n.s.MaxDescriptors)
-	n.callers.Store(w)
+func (n *Node) monitorFront(l net.Listener) net.Listener {
+	w := accept.New(l, n.clock, n.log, n.settings.MaxDescriptors)
+	n.frontListener.Store(w)
 	return w
 }
 
-func (n *Node) takesNobody() bool {
-	w := n.callers.Load()
+func (n *Node) cannotAccept() bool {
+	w := n.frontListener.Load()
 	return w != nil && w.Failing(n.clock.Now())
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.ready() {
+	if !n.isReady() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
@@ -195,11 +195,11 @@
 }
 
 // stop waits until the callers are gone, within the time there is.
-func (n *Node) stop(t *traffic, front *http.Server) {
+func (n *Node) stop(t *requestTracker, front *http.Server) {
 	n.phase.Store(int32(forward.PhaseLeaving))
 	begun := n.clock.Now()
 	n.log.Info("stopping")
-	defer n.clock.AfterFunc(stopTakes, func() {
+	defer n.clock.AfterFunc(stopAcceptPeriod, func() {
 		n.phase.Store(int32(forward.PhaseClosed))
 		// Callers whose connections are idle open others without losing a try.
 		if err := front.Shutdown(context.Background()); err != nil {
@@ -209,8 +209,8 @@
 	for {
 		now := n.clock.Now()
 		d := now.Sub(begun)
-		if d >= n.s.StopTimeout-stopMargin || d >= stopMinimum && t.quiet(now) {
-			n.log.Info("stopped", zap.Duration("after", d), zap.Bool("quiet", t.quiet(now)))
+		if d >= n.settings.StopTimeout-stopMargin || d >= minStopTime && t.isQuiet(now) {
+			n.log.Info("stopped", zap.Duration("after", d), zap.Bool("quiet", t.isQuiet(now)))
 			return
 		}
 		_ = n.clock.Sleep(context.Background(), stopPoll)
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -44,20 +44,20 @@
 	Seeds      []string // some nodes' peer listeners
 	FirstStart bool     // the whole system starts for the first time
 
-	MemoryBytes int64
+	MemoryBytes    int64
 	MaxDescriptors int     // that the process may have open; 0: not known
-	Cores       float64 // of the VM that this node may use; 0: not known
-	Store       StoreSettings
-	Cloud       CloudSettings
+	Cores          float64 // of the VM that this node may use; 0: not known
+	Store          StoreSettings
+	Cloud          CloudSettings
 
-	StopTimeout        time.Duration // from the stop signal to the kill
-	LeaseTTL       time.Duration // of a duty
-	RetryRatio  float64       // repeats a request, over all nodes
-	RetryWindow time.Duration
-	RetryExtra  float64 // repeats in the window beyond the ratio, over all nodes
-	Exposure    float64 // share of a service's requests that an untried version may get; 0: unsaid
-	UsageWindow time.Duration
-	UsageDeadline   time.Duration // a window's report is due so long after its end
+	StopTimeout   time.Duration // from the stop signal to the kill
+	LeaseTTL      time.Duration // of a duty
+	RetryRatio    float64       // repeats a request, over all nodes
+	RetryWindow   time.Duration
+	RetryExtra    float64 // repeats in the window beyond the ratio, over all nodes
+	Exposure      float64 // share of a service's requests that an untried version may get; 0: unsaid
+	UsageWindow   time.Duration
+	UsageDeadline time.Duration // a window's report is due so long after its end
 }
 
 // Check reports everything that is wrong.
--- a/internal/edge/states.go
+++ b/internal/edge/states.go
@@ -11,7 +11,7 @@
 
 // Upstreams returns what this node believes of upstreams, and does about it.
 func (s *edgeService) Upstreams(_ context.Context, r *connect.Request[wire.UpstreamsRequest]) (*connect.Response[wire.UpstreamsResponse], error) {
-	a := &wire.UpstreamsResponse{Node: s.n.s.Node}
+	a := &wire.UpstreamsResponse{Node: s.n.settings.Node}
 	for _, v := range s.n.pools.States(r.Msg.Service) {
 		a.Upstreams = append(a.Upstreams, stateToWire(v))
 	}
--- a/internal/edge/suspicions.go
+++ b/internal/edge/suspicions.go
@@ -20,32 +20,32 @@
 // so that a loss of all processes doesn't cost another three upstreams for each request.
 
 // suspicionsAgain is how often a process that starts asks a store that doesn't answer.
-const suspicionsAgain = time.Second
+const quarantineRetryPause = time.Second
 
 // hearSuspicions takes in what another node knows.
-func (n *Node) hearSuspicions(m *wire.Suspicions, source string) {
+func (n *Node) mergeSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Hear(now, quarantine.WordsFromWire(now, m)), source)
+		n.front.Held(n.quarantine.Hear(now, quarantine.WordsFromWire(now, m)), source)
 	}
 }
 
 // suspicions is what this node tells the others now; nil: nothing.
 func (n *Node) suspicions() *wire.Suspicions {
 	now := n.clock.Now()
-	return n.suspects.Words(now).ToWire(now)
+	return n.quarantine.Words(now).ToWire(now)
 }
 
 const (
 	// waysTried is how many nodes of a hall are tried for the way there: one may have ended.
-	waysTried = 2
+	maxHallProbes = 2
 	// wayTimeout bounds each try, as it does for a connection to an upstream.
-	wayTimeout = 300 * time.Millisecond
+	hallProbeTimeout = 300 * time.Millisecond
 )
 
 // reaches tells whether the way to a hall is open: one of its nodes listens. Where none is
 // known, nothing speaks for a cut.
-func (n *Node) reaches(ctx context.Context, hall string) bool {
+func (n *Node) reachesHall(ctx context.Context, hall string) bool {
 	n.mu.Lock()
 	var list []*peer
 	for _, p := range n.peers.peers {
@@ -53,13 +53,13 @@
 			list = append(list, p)
 		}
 	}
-	slices.SortFunc(list, func(x, y *peer) int { return y.heard.Compare(x.heard) })
-	addresses := make([]string, 0, waysTried)
-	for _, p := range list[:min(len(list), waysTried)] {
+	slices.SortFunc(list, func(x, y *peer) int { return y.lastSeen.Compare(x.lastSeen) })
+	addresses := make([]string, 0, maxHallProbes)
+	for _, p := range list[:min(len(list), maxHallProbes)] {
 		addresses = append(addresses, p.address)
 	}
 	n.mu.Unlock()
-	d := net.Dialer{Timeout: wayTimeout}
+	d := net.Dialer{Timeout: hallProbeTimeout}
 	for _, a := range addresses {
 		if c, err := d.DialContext(ctx, "tcp", a); err == nil {
 			_ = c.Close()
@@ -70,50 +70,50 @@
 }
 
 // heldRecord is what holds requests back.
-var heldRecord = record{name: "held", key: "spurhall/held"}
+var quarantineRecord = record{name: "held", key: "spurhall/held"}
 
 // heldEnd is an end of an upstream, by the wall clock: it is read by processes of other VMs.
-type heldEnd struct {
-	Print    quarantine.Print `json:"print"`
-	Upstream string           `json:"upstream"`
-	At       int64            `json:"at"` // Unix milliseconds
+type storedCrash struct {
+	Fingerprint quarantine.Print `json:"print"`
+	Upstream    string           `json:"upstream"`
+	At          int64            `json:"at"` // Unix milliseconds
 }
 
 // heldRequests is the side of the duties' holder.
-type heldRequests struct {
+type quarantineWriter struct {
 	token   int64 // of the term in which it was written
 	written int64
 }
 
 // write puts what holds requests back into the store when it has changed. What can't be
 // written is tried again with the next step.
-func (v *heldRequests) write(ctx context.Context, n *Node, token int64) {
-	ends, version := n.suspects.Held()
+func (v *quarantineWriter) write(ctx context.Context, n *Node, token int64) {
+	ends, version := n.quarantine.Held()
 	if version == 0 || version == v.written && token == v.token {
 		return // nothing was ever held, or it stands there; what a term before wrote may be lost
 	}
-	list := make([]heldEnd, len(ends))
+	list := make([]storedCrash, len(ends))
 	for i, e := range ends {
-		list[i] = heldEnd{e.Print, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
+		list[i] = storedCrash{e.Print, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
 	}
-	if heldRecord.write(ctx, n, token, list) {
+	if quarantineRecord.write(ctx, n, token, list) {
 		v.written, v.token = version, token
 	}
 }
 
 // recallHeld reads what held requests back before this process began.
-func (n *Node) recallHeld(ctx context.Context) {
-	if n.s.FirstStart {
+func (n *Node) restoreQuarantine(ctx context.Context) {
+	if n.settings.FirstStart {
 		return
 	}
-	var list []heldEnd
+	var list []storedCrash
 	for {
-		found, err := heldRecord.load(ctx, n, &list)
+		found, err := quarantineRecord.load(ctx, n, &list)
 		if err == nil {
 			break
 		}
 		n.log.Info("held_unread", zap.String("cause", err.Error()))
-		if found || n.clock.Sleep(ctx, suspicionsAgain) != nil {
+		if found || n.clock.Sleep(ctx, quarantineRetryPause) != nil {
 			return
 		}
 	}
@@ -124,8 +124,8 @@
 	var w quarantine.Words
 	for _, v := range list {
 		at := now.Add(-max(0, now.Sub(n.clock.At(time.UnixMilli(v.At))))) // no end is to come
-		w.Ends = append(w.Ends, quarantine.End{Print: v.Print, Upstream: v.Upstream, At: at})
+		w.Ends = append(w.Ends, quarantine.End{Print: v.Fingerprint, Upstream: v.Upstream, At: at})
 	}
 	n.log.Info("held_found", zap.Int("ends", len(w.Ends)))
-	n.front.Held(n.suspects.Hear(now, w), heldRecord.key)
+	n.front.Held(n.quarantine.Hear(now, w), quarantineRecord.key)
 }
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -18,63 +18,63 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-var deadlyPrint = quarantine.PrintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
+var crashingFingerprint = quarantine.PrintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
 
 // suspiciousNode is a node that runs no duty, and what it knows.
-func suspiciousNode(name string, clock *timer.Manual) *Node {
+func newTestNode(name string, clock *timer.Manual) *Node {
 	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 }
 
-func (n *Node) sawEnds(count int) {
+func (n *Node) observeCrashes(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.Held(n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
-func (n *Node) holdsBack() bool { return n.suspects.Wait(n.clock.Now(), deadlyPrint) > 0 }
+func (n *Node) isQuarantined() bool { return n.quarantine.Wait(n.clock.Now(), crashingFingerprint) > 0 }
 
 // TestSuspicionsGoWithEveryMessage: what holds a request back is told by each kind of message
 // between nodes, both ways.
-func TestSuspicionsGoWithEveryMessage(t *testing.T) {
+func TestSuspicionsInEveryMessage(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	pair := func() (*Node, *Node) { return suspiciousNode("x", clock), suspiciousNode("y", clock) }
+	pair := func() (*Node, *Node) { return newTestNode("x", clock), newTestNode("y", clock) }
 	ways := map[string]func(t *testing.T, asker, answerer *Node){
 		"report": func(t *testing.T, x, y *Node) {
-			a, err := (&edgeService{y}).Report(t.Context(), connect.NewRequest(&wire.ReportRequest{Report: x.report(pairWindows)}))
+			a, err := (&edgeService{y}).Report(t.Context(), connect.NewRequest(&wire.ReportRequest{Report: x.buildReport(pairWindows)}))
 			require.NoError(t, err)
-			x.takeIn(t.Context(), a.Msg.Report)
+			x.applyReport(t.Context(), a.Msg.Report)
 		},
 		"gather": func(t *testing.T, x, y *Node) {
-			a, err := (&edgeService{y}).Gather(t.Context(), connect.NewRequest(&wire.GatherRequest{Report: x.report(relayWindows)}))
+			a, err := (&edgeService{y}).Gather(t.Context(), connect.NewRequest(&wire.GatherRequest{Report: x.buildReport(relayWindows)}))
 			require.NoError(t, err)
-			x.takeGathered("y", a.Msg)
+			x.applyGatherResponse("y", a.Msg)
 		},
 		"swap": func(t *testing.T, x, y *Node) {
-			a, err := (&edgeService{y}).Swap(t.Context(), connect.NewRequest(&wire.SwapRequest{Group: x.groupFor("y", "", 0)}))
+			a, err := (&edgeService{y}).Swap(t.Context(), connect.NewRequest(&wire.SwapRequest{Group: x.buildGroup("y", "", 0)}))
 			require.NoError(t, err)
-			x.takeGroup(a.Msg.Group)
+			x.applyGroup(a.Msg.Group)
 		},
 	}
 	for name, swap := range ways {
 		t.Run(name, func(t *testing.T) {
 			x, y := pair()
-			x.sawEnds(quarantine.Proof)
+			x.observeCrashes(quarantine.Proof)
 			swap(t, x, y)
-			assert.True(t, y.holdsBack(), "asked")
+			assert.True(t, y.isQuarantined(), "asked")
 			x, y = pair()
-			y.sawEnds(quarantine.Proof)
+			y.observeCrashes(quarantine.Proof)
 			swap(t, x, y)
-			assert.True(t, x.holdsBack(), "answered")
+			assert.True(t, x.isQuarantined(), "answered")
 		})
 	}
 	t.Run("news is told on", func(t *testing.T) {
 		x, y := pair()
-		z := suspiciousNode("z", clock)
-		x.sawEnds(1)
+		z := newTestNode("z", clock)
+		x.observeCrashes(1)
 		ways["swap"](t, x, y)
 		ways["gather"](t, z, y)
-		assert.Equal(t, 1, z.suspects.Ends(deadlyPrint))
+		assert.Equal(t, 1, z.quarantine.Ends(crashingFingerprint))
 	})
 }
 
@@ -85,34 +85,34 @@
 }
 
 // TestTheWayToAHall: one node of a hall that listens shows that the way there is open.
-func TestTheWayToAHall(t *testing.T) {
-	n := suspiciousNode("x", timer.NewManual(time.Unix(1000, 0)))
+func TestReachesHall(t *testing.T) {
+	n := newTestNode("x", timer.NewManual(time.Unix(1000, 0)))
 	know := func(name string, listens bool) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		n.peers.get(name, l.Addr().String()).hall = "b"
+		n.peers.getOrAdd(name, l.Addr().String()).hall = "b"
 		if !listens {
 			require.NoError(t, l.Close())
 			return
 		}
 		t.Cleanup(func() { _ = l.Close() })
 	}
-	assert.True(t, n.reaches(t.Context(), "b"), "nothing is known of it")
+	assert.True(t, n.reachesHall(t.Context(), "b"), "nothing is known of it")
 	know("ended", false)
-	assert.False(t, n.reaches(t.Context(), "b"))
+	assert.False(t, n.reachesHall(t.Context(), "b"))
 	know("listening", true)
-	assert.True(t, n.reaches(t.Context(), "b"))
+	assert.True(t, n.reachesHall(t.Context(), "b"))
 }
 
 // TestSuspensionIsTold: one line for each suspension of the VM.
-func TestSuspensionIsTold(t *testing.T) {
+func TestSuspensionIsLoggedOnce(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	n := suspiciousNode("x", clock)
+	n := newTestNode("x", clock)
 	core, logs := observer.New(zap.DebugLevel)
 	n.log = zap.New(core)
 	clock.Suspend(4 * time.Second)
-	n.noteSuspension()
-	n.noteSuspension()
+	n.logSuspension()
+	n.logSuspension()
 	l := logs.FilterMessage("vm_suspended").All()
 	require.Len(t, l, 1)
 	assert.Equal(t, 4*time.Second, l[0].ContextMap()["for"])
