--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -26,22 +26,22 @@
 // configuration may take, and its failure makes the others begin anew, too.
 
 // followPause is the pause after a failure. The guard's breaker adds its own.
-const followPause = 100 * time.Millisecond
+const storeRetryPause = 100 * time.Millisecond
 
 const (
 	// catalogWait and listWait are how long a watch may have nothing to tell; each end of a
 	// wait costs a call.
-	catalogWait = 2 * time.Second
-	listWait    = 6 * time.Second
+	catalogWatchWait = 2 * time.Second
+	listWatchWait    = 6 * time.Second
 	// gatherNode and gatherLimit set the pause after changes of the list, so much for each
 	// node that watches: a wave of reclaims or a release comes as a change for each upstream,
 	// each answer to a watch is a call that is paid for, and all that watch get it. The limit
 	// is well below the seconds for which a leaving upstream still serves.
-	gatherNode  = 50 * time.Millisecond
-	gatherLimit = 500 * time.Millisecond
+	batchDelayPerNode = 50 * time.Millisecond
+	maxBatchDelay     = 500 * time.Millisecond
 	// behindFor is how long this node's list may lack a change that another node has: two
 	// reports, and the delay of a watch.
-	behindFor = 600 * time.Millisecond
+	maxListLag = 600 * time.Millisecond
 )
 
 // errBehind ends a watch that lacks what other nodes have heard.
@@ -49,91 +49,91 @@
 
 // follower reads a prefix again and again, and watches it in between.
 type follower struct {
-	n       *Node
-	name    string
-	prefix  string
-	wait    time.Duration // how long a watch may have nothing to tell
-	whole   func(r store.RangeResult)
-	change  func(b store.WatchBatch)
-	failed  time.Time // since when the store doesn't answer; zero: it does
-	inTouch atomic.Bool
-
-	mu   sync.Mutex
-	stop context.CancelCauseFunc // of the watch under way
+	n             *Node
+	name          string
+	prefix        string
+	watchWait     time.Duration // how long a watch may have nothing to tell
+	applySnapshot func(r store.RangeResult)
+	applyBatch    func(b store.WatchBatch)
+	failedSince   time.Time // since when the store doesn't answer; zero: it does
+	connected     atomic.Bool
+
+	mu          sync.Mutex
+	cancelWatch context.CancelCauseFunc // of the watch under way
 }
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := f.follow(ctx)
+		err := f.readAndWatch(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if begunAnew(err) {
+		if isWatchRestart(err) {
 			f.n.log.Info("watch_begun_anew", zap.String("reader", f.name), zap.String("cause", err.Error()))
 		} else {
-			f.lost(err)
+			f.markLost(err)
 		}
-		_ = f.n.clock.Sleep(ctx, followPause)
+		_ = f.n.clock.Sleep(ctx, storeRetryPause)
 	}
-	f.inTouch.Store(false)
+	f.connected.Store(false)
 }
 
 // begunAnew tells whether a watch ended though the store answers, as far as is known.
 // What goes from the list right after an outage may have lapsed in it and is believed for
 // a while, so no outage is made up.
-func begunAnew(err error) bool {
+func isWatchRestart(err error) bool {
 	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrDoubted) || errors.Is(err, errBehind)
 }
 
-func (f *follower) lost(err error) {
-	if !f.failed.IsZero() {
+func (f *follower) markLost(err error) {
+	if !f.failedSince.IsZero() {
 		return
 	}
-	f.failed = f.n.clock.Now()
-	f.inTouch.Store(false)
+	f.failedSince = f.n.clock.Now()
+	f.connected.Store(false)
 	storeUp.Add(f.name, -1)
 	f.n.log.Warn("store_lost", zap.String("reader", f.name), zap.String("cause", err.Error()))
 }
 
-func (f *follower) regained() {
-	f.inTouch.Store(true)
-	if f.failed.IsZero() {
+func (f *follower) markRegained() {
+	f.connected.Store(true)
+	if f.failedSince.IsZero() {
 		return
 	}
-	f.n.log.Info("store_regained", zap.String("reader", f.name), zap.Duration("after", f.n.clock.Since(f.failed)))
-	f.failed = time.Time{}
+	f.n.log.Info("store_regained", zap.String("reader", f.name), zap.Duration("after", f.n.clock.Since(f.failedSince)))
+	f.failedSince = time.Time{}
 	storeUp.Add(f.name, 1)
 }
 
 // followed notes that a node that watches has told this one what the store holds: it wasn't
 // away, though it may turn this node away. Without that, the node took what went from the
 // list for lapsed when it watched again itself, and sent requests to upstreams that had left.
-func (n *Node) followed() {
-	for _, f := range []*follower{n.listReader, n.catalogReader} {
-		if !f.failed.IsZero() {
-			f.failed = time.Time{}
+func (n *Node) markStoreAvailable() {
+	for _, f := range []*follower{n.listFollower, n.catalogFollower} {
+		if !f.failedSince.IsZero() {
+			f.failedSince = time.Time{}
 			storeUp.Add(f.name, 1)
 		}
 	}
 }
 
-func (f *follower) follow(ctx context.Context) error {
+func (f *follower) readAndWatch(ctx context.Context) error {
 	r, err := f.n.kv.Range(ctx, f.prefix, store.PrefixEnd(f.prefix))
 	if err != nil {
 		return err
 	}
-	f.whole(r)
-	f.regained()
+	f.applySnapshot(r)
+	f.markRegained()
 	c, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	f.set(stop)
+	f.setCancel(stop)
 	span := store.Under(f.prefix, r.Revision+1)
-	span.Wait = f.wait
+	span.Wait = f.watchWait
 	err = f.n.kv.Watch(c, span, func(b store.WatchBatch) error {
-		f.regained()
-		f.change(b)
+		f.markRegained()
+		f.applyBatch(b)
 		if len(b.Events) > 0 {
-			return f.n.clock.Sleep(c, f.n.gather())
+			return f.n.clock.Sleep(c, f.n.batchDelay())
 		}
 		return nil
 	})
@@ -144,99 +144,99 @@
 }
 
 // gather is how long changes are gathered in a fleet of this size.
-func (n *Node) gather() time.Duration {
+func (n *Node) batchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	watching := min(n.peers.size(), watchersAHall*max(1, len(n.s.Halls)))
-	return min(gatherNode*time.Duration(watching), gatherLimit)
+	watching := min(n.peers.size(), watchersPerHall*max(1, len(n.settings.Halls)))
+	return min(batchDelayPerNode*time.Duration(watching), maxBatchDelay)
 }
 
-func (f *follower) set(stop context.CancelCauseFunc) {
+func (f *follower) setCancel(stop context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stop = stop
+	f.cancelWatch = stop
 }
 
 // again ends the watch under way: the range is read anew.
-func (f *follower) again() {
+func (f *follower) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stop != nil {
-		f.stop(errBehind)
+	if f.cancelWatch != nil {
+		f.cancelWatch(errBehind)
 	}
 }
 
 // noteChange takes in the newest change of the list that another node has heard of.
-func (n *Node) noteChange(peer string, change int64) {
+func (n *Node) recordListChange(peer string, change int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.othersChange = max(n.othersChange, change)
+	n.peerListChange = max(n.peerListChange, change)
 	have := n.pools.Revision()
 	switch {
-	case have >= n.othersChange:
-		n.behind = time.Time{}
-	case n.behind.IsZero():
-		n.behind = now
-	case now.Sub(n.behind) > behindFor:
-		n.log.Warn("watch_behind", zap.String("reader", n.listReader.name), zap.String("peer", peer),
-			zap.Int64("revision", have), zap.Int64("change", n.othersChange), zap.Duration("for", now.Sub(n.behind)))
-		n.behind = now
-		n.listReader.again()
-		n.watchAlone(now)
+	case have >= n.peerListChange:
+		n.behindSince = time.Time{}
+	case n.behindSince.IsZero():
+		n.behindSince = now
+	case now.Sub(n.behindSince) > maxListLag:
+		n.log.Warn("watch_behind", zap.String("reader", n.listFollower.name), zap.String("peer", peer),
+			zap.Int64("revision", have), zap.Int64("change", n.peerListChange), zap.Duration("for", now.Sub(n.behindSince)))
+		n.behindSince = now
+		n.listFollower.restart()
+		n.startSelfWatch(now)
 	}
 }
 
-func (n *Node) catalogFollower() *follower {
+func (n *Node) newCatalogFollower() *follower {
 	take := func(p store.Pair) {
 		switch {
-		case p.Key == n.o.CatalogKey:
-			n.accept(p.Value, "store")
-		case strings.HasPrefix(p.Key, n.o.OrderPrefix):
-			n.takeOrder(p, "store")
+		case p.Key == n.options.CatalogKey:
+			n.applyCatalog(p.Value, "store")
+		case strings.HasPrefix(p.Key, n.options.OrderPrefix):
+			n.applyOrder(p, "store")
 		}
 	}
 	return &follower{
-		n: n, name: "catalog", prefix: n.o.OperatorPrefix, wait: catalogWait,
-		whole: func(r store.RangeResult) {
+		n: n, name: "catalog", prefix: n.options.OperatorPrefix, watchWait: catalogWatchWait,
+		applySnapshot: func(r store.RangeResult) {
 			// Orders first: once there is a configuration, requests are served.
 			slices.SortStableFunc(r.Pairs, func(a, b store.Pair) int { return strings.Compare(b.Key, a.Key) })
 			for _, p := range r.Pairs {
 				take(p)
 			}
 		},
-		change: func(b store.WatchBatch) {
+		applyBatch: func(b store.WatchBatch) {
 			for _, e := range b.Events {
 				switch {
 				case !e.Deleted:
 					take(e.Pair)
-				case strings.HasPrefix(e.Pair.Key, n.o.OrderPrefix):
-					n.takeBack(e.Pair.Key, e.Pair.Modified)
+				case strings.HasPrefix(e.Pair.Key, n.options.OrderPrefix):
+					n.withdrawOrder(e.Pair.Key, e.Pair.Modified)
 				}
 			}
 		},
 	}
 }
 
-func (n *Node) listFollower() *follower {
-	f := &follower{n: n, name: "upstreams", prefix: n.o.EntryPrefix, wait: listWait}
-	f.whole = func(r store.RangeResult) {
-		back := !f.failed.IsZero()
-		items, bad := n.items(r.Pairs)
-		n.update("store", func(now time.Time, l *pool.List) {
+func (n *Node) newListFollower() *follower {
+	f := &follower{n: n, name: "upstreams", prefix: n.options.EntryPrefix, watchWait: listWatchWait}
+	f.applySnapshot = func(r store.RangeResult) {
+		back := !f.failedSince.IsZero()
+		items, bad := n.decodeEntries(r.Pairs)
+		n.updateList("store", func(now time.Time, l *pool.List) {
 			if back {
 				l.StoreReturned(now)
 			}
 			l.Replace(now, r.Revision, items)
-			n.void(l, bad)
+			n.voidEntries(l, bad)
 		})
 		n.listed.Store(true)
-		n.knowsMore()
+		n.signalInitialized()
 	}
-	f.change = func(b store.WatchBatch) {
-		n.update("store", func(now time.Time, l *pool.List) {
+	f.applyBatch = func(b store.WatchBatch) {
+		n.updateList("store", func(now time.Time, l *pool.List) {
 			for _, e := range b.Events {
-				n.change(now, l, e)
+				n.applyListEvent(now, l, e)
 			}
 			l.Advance(b.Revision)
 		})
@@ -244,38 +244,38 @@
 	return f
 }
 
-func (n *Node) change(now time.Time, l *pool.List, e store.Event) {
+func (n *Node) applyListEvent(now time.Time, l *pool.List, e store.Event) {
 	if e.Deleted {
 		l.Remove(now, e.Pair.Modified, n.entryID(e.Pair.Key))
 		return
 	}
-	items, bad := n.items([]store.Pair{e.Pair})
+	items, bad := n.decodeEntries([]store.Pair{e.Pair})
 	for _, v := range items {
 		l.Put(v)
 	}
-	n.void(l, bad)
+	n.voidEntries(l, bad)
 }
 
-func (n *Node) entryID(key string) string { return key[min(len(n.o.EntryPrefix), len(key)):] }
+func (n *Node) entryID(key string) string { return key[min(len(n.options.EntryPrefix), len(key)):] }
 
 // void takes in keys whose values can't be read.
-func (n *Node) void(l *pool.List, bad []store.Pair) {
+func (n *Node) voidEntries(l *pool.List, bad []store.Pair) {
 	for _, p := range bad {
 		l.Void(p.Modified, n.entryID(p.Key))
 	}
 }
 
 // items reads entries, and returns the pairs that can't be read.
-func (n *Node) items(pairs []store.Pair) (sound []pool.Item, bad []store.Pair) {
+func (n *Node) decodeEntries(pairs []store.Pair) (sound []pool.Item, bad []store.Pair) {
 	sound = make([]pool.Item, 0, len(pairs))
 	for _, p := range pairs {
-		e, err := n.o.DecodeEntry(p.Key, p.Value)
+		e, err := n.options.DecodeEntry(p.Key, p.Value)
 		if err != nil {
-			n.unreadable.note(n.log, p, err)
+			n.unreadableEntries.record(n.log, p, err)
 			bad = append(bad, p)
 			continue
 		}
-		n.unreadable.sound(p.Key)
+		n.unreadableEntries.clear(p.Key)
 		sound = append(sound, pool.Item{Entry: e, Revision: p.Modified})
 	}
 	return sound, bad
@@ -283,15 +283,15 @@
 
 // unreadable is the keys whose entries can't be read, with the reasons that were logged. It is
 // the list's reader's own.
-type unreadable map[string]string
+type unreadableEntries map[string]string
 
 // unreadableLimit bounds the keys whose reasons are remembered, and so the lines on them.
-const unreadableLimit = 256
+const maxUnreadableEntries = 256
 
 // note logs a key and its reason, once.
-func (u unreadable) note(log *zap.Logger, p store.Pair, err error) {
+func (u unreadableEntries) record(log *zap.Logger, p store.Pair, err error) {
 	reason := err.Error()
-	if u[p.Key] == reason || len(u) >= unreadableLimit {
+	if u[p.Key] == reason || len(u) >= maxUnreadableEntries {
 		return
 	}
 	u[p.Key] = reason
@@ -299,14 +299,14 @@
 	log.Warn("entry_unreadable", zap.String("key", p.Key), zap.Int64("revision", p.Modified), zap.String("cause", reason))
 }
 
-func (u unreadable) sound(key string) { delete(u, key) }
+func (u unreadableEntries) clear(key string) { delete(u, key) }
 
 // update changes the list, and tells what became of it.
-func (n *Node) update(source string, f func(now time.Time, l *pool.List)) {
+func (n *Node) updateList(source string, f func(now time.Time, l *pool.List)) {
 	before := n.pools.Change()
 	changes := n.pools.Update(func(l *pool.List) { f(n.clock.Now(), l) })
 	if len(changes) > 0 || n.pools.Change() != before {
-		n.news.announceList()
+		n.changes.announceList()
 	}
 	for _, c := range changes {
 		upstreamEvents.Add(c.Event, 1)
@@ -321,10 +321,10 @@
 }
 
 // expireEvery is how often entries that went missing in an outage are looked at.
-const expireEvery = 200 * time.Millisecond
+const expireInterval = 200 * time.Millisecond
 
-func (n *Node) expire(ctx context.Context) {
-	n.clock.Every(ctx, expireEvery, func(time.Time) {
-		n.update("lapsed", func(now time.Time, l *pool.List) { l.Expire(now) })
+func (n *Node) expireMissing(ctx context.Context) {
+	n.clock.Every(ctx, expireInterval, func(time.Time) {
+		n.updateList("lapsed", func(now time.Time, l *pool.List) { l.Expire(now) })
 	})
 }
--- a/internal/edge/watch_test.go
+++ b/internal/edge/watch_test.go
@@ -16,7 +16,7 @@
 // TestFollowedStoreWasNotAway: a node that the store turned away and that followed others
 // meanwhile believes what the store says as soon as it watches again. What goes from the list
 // then hasn't lapsed in an outage.
-func TestFollowedStoreWasNotAway(t *testing.T) {
+func TestFollowingClearsStoreOutage(t *testing.T) {
 	for _, v := range []struct {
 		name     string
 		followed bool
@@ -24,19 +24,19 @@
 	}{{"it followed others", true, 0}, {"it had no news meanwhile", false, 1}} {
 		t.Run(v.name, func(t *testing.T) {
 			c := timer.NewManual(time.Unix(1000, 0))
-			n := &Node{s: &Settings{Node: "a"}, clock: c.Service(), log: zap.NewNop(), pools: pool.New(c.Service(), "a", "h"), news: newNews(), lines: forward.NewLines(c.Service())}
-			n.o.EntryPrefix = "up/"
-			n.o.DecodeEntry = func(key string, _ []byte) (pool.Entry, error) {
+			n := &Node{settings: &Settings{Node: "a"}, clock: c.Service(), log: zap.NewNop(), pools: pool.New(c.Service(), "a", "h"), changes: newChangeFeed(), lines: forward.NewLines(c.Service())}
+			n.options.EntryPrefix = "up/"
+			n.options.DecodeEntry = func(key string, _ []byte) (pool.Entry, error) {
 				return pool.Entry{ID: key, Service: "s", Address: "x"}, nil
 			}
-			n.listReader, n.catalogReader = n.listFollower(), n.catalogFollower()
-			n.listReader.whole(store.RangeResult{Revision: 1, Pairs: []store.Pair{{Key: "up/u", Modified: 1}}})
-			n.listReader.lost(store.ErrUnavailable)
+			n.listFollower, n.catalogFollower = n.newListFollower(), n.newCatalogFollower()
+			n.listFollower.applySnapshot(store.RangeResult{Revision: 1, Pairs: []store.Pair{{Key: "up/u", Modified: 1}}})
+			n.listFollower.markLost(store.ErrUnavailable)
 			c.Advance(8 * time.Second)
 			if v.followed {
-				n.followed()
+				n.markStoreAvailable()
 			}
-			n.listReader.whole(store.RangeResult{Revision: 2})
+			n.listFollower.applySnapshot(store.RangeResult{Revision: 2})
 			assert.Len(t, n.pools.Items(), v.left)
 		})
 	}
