--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -38,7 +38,7 @@
 		close(done)
 	}()
 	o := newOrderer(n)
-	rolls := newRolloutRunner(n)
+	rolls := newRunner(n)
 	var c usageCountsWriter
 	var v levelsWriter
 	var q quarantineWriter
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -39,7 +39,7 @@
 	}
 	t.Run("that nobody has told of others", func(t *testing.T) {
 		n, c := begin()
-		assert.False(t, sends(n, c, int(registryWaitLimit/pair.Round)))
+		assert.False(t, sends(n, c, int(peersWait/pair.Round)))
 		assert.True(t, sends(n, c, 5), "who is alone for longer is taken to be")
 	})
 	t.Run("before the first round, either", func(t *testing.T) {
@@ -50,7 +50,7 @@
 	})
 	t.Run("but one that has read the registry", func(t *testing.T) {
 		n, c := begin()
-		n.registryRead = true
+		n.peersRead = true
 		assert.True(t, sends(n, c, 3))
 	})
 }
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -147,7 +147,7 @@
 			n.logPeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.lastSeen)))
 		}
 	}
-	n.registryRead = true
+	n.peersRead = true
 	n.quotas.SetPeers(now, n.peers.names())
 	return nil
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -106,7 +106,7 @@
 	quotas        *quota.Quotas
 	retryWindows  map[string]*retry.Window
 	spanStartedAt time.Time // when the quotas' present span began
-	registryRead  bool      // the registry of the nodes has been read
+	peersRead     bool      // the registry of the nodes has been read
 	usage         *usage.Book
 	peers         *peerTable
 	peerLog       peerLog
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -28,7 +28,7 @@
 	reportTimeout = 600 * time.Millisecond
 	// lookedBy is how old a process is when the nodes that it has heard from count as all
 	// there are, if the registry can't be read: some rounds.
-	registryWaitLimit = time.Second
+	peersWait = time.Second
 )
 
 // peer is another node as this one knows it.
@@ -196,9 +196,7 @@
 
 // knowsOthers tells whether what this process knows of other nodes is taken for all there are. One that has just
 // begun and that the store doesn't answer isn't alone, though it has heard of nobody. The node's lock is held.
-func (n *Node) knowsPeers(now time.Time) bool {
-	return n.registryRead || now.Sub(n.start) > registryWaitLimit
-}
+func (n *Node) knowsPeers(now time.Time) bool { return n.peersRead || now.Sub(n.start) > peersWait }
 
 // shareQuotas begins a new span of the quotas once every pair has had its turn.
 func (n *Node) startQuotaSpan(now time.Time) {
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -60,7 +60,7 @@
 func (n *Node) hasReadRegistry() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.registryRead
+	return n.peersRead
 }
 
 // enginesToAsk returns the engines of this hall that fall to this node.
--- a/internal/edge/records_test.go
+++ b/internal/edge/records_test.go
@@ -79,6 +79,6 @@
 		if s := n.rollouts.trials["s"].Stage(); s < rollout.StageWaiting || s > rollout.StageRolledBack {
 			t.Errorf("a stage that isn't one: %d", s)
 		}
-		newRolloutRunner(n.Node).step(ctx, token)
+		newRunner(n.Node).step(ctx, token)
 	})
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -56,7 +56,7 @@
 // so as soon as it has found the others.
 func (n *Node) runRelay(ctx context.Context) {
 	for !n.relayStep(ctx) {
-		if n.clock.Since(n.start) > registryWaitLimit || n.clock.Sleep(ctx, relayPoll) != nil {
+		if n.clock.Since(n.start) > peersWait || n.clock.Sleep(ctx, relayPoll) != nil {
 			break
 		}
 	}
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -46,30 +46,28 @@
 }
 
 // roller is the holder's side.
-type rolloutRunner struct {
-	n        *Node
-	token    int64 // of the term that the states belong to
-	rollouts map[string]*rolloutState
+type runner struct {
+	n      *Node
+	token  int64 // of the term that the states belong to
+	states map[string]*rolloutState
 }
 
-func newRolloutRunner(n *Node) *rolloutRunner {
-	return &rolloutRunner{n: n, rollouts: make(map[string]*rolloutState)}
-}
+func newRunner(n *Node) *runner { return &runner{n: n, states: make(map[string]*rolloutState)} }
 
 // step goes on with each roll-out.
-func (r *rolloutRunner) step(ctx context.Context, token int64) {
+func (r *runner) step(ctx context.Context, token int64) {
 	if token != r.token {
-		r.token, r.rollouts = token, make(map[string]*rolloutState)
+		r.token, r.states = token, make(map[string]*rolloutState)
 	}
 	for _, o := range r.n.rolloutOrders() {
-		v := r.rollouts[o.Service]
+		v := r.states[o.Service]
 		if v == nil || v.state.Order.Revision < o.Revision {
 			var err error
 			if v, err = r.read(ctx, o); err != nil {
 				r.n.log.Info("rollout_unread", zap.String("service", o.Service), zap.String("cause", err.Error()))
 				continue
 			}
-			r.rollouts[o.Service] = v
+			r.states[o.Service] = v
 		}
 		r.advance(ctx, v)
 	}
@@ -88,7 +86,7 @@
 
 // read finds out how far a roll-out has come. The order itself is read, too: this node may
 // have heard of it by others, who tell no duration.
-func (r *rolloutRunner) read(ctx context.Context, o rollout.Order) (*rolloutState, error) {
+func (r *runner) read(ctx context.Context, o rollout.Order) (*rolloutState, error) {
 	v := &rolloutState{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
 	v.state.Since = v.state.Began
 	if err := r.readOrder(ctx, v); err != nil {
@@ -114,7 +112,7 @@
 
 // goOn takes in how far this node knows the roll-out to have come, where the store has lost that: an
 // exposure doesn't begin again, and a version that was taken back isn't tried again.
-func (r *rolloutRunner) restoreFromTrial(v *rolloutState) {
+func (r *runner) restoreFromTrial(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,7 +124,7 @@
 	n.log.Info("rollout_restored", zap.String("service", v.state.Order.Service), zap.Int64("order", v.state.Order.Revision), zap.Stringer("stage", v.state.Stage))
 }
 
-func (r *rolloutRunner) readOrder(ctx context.Context, v *rolloutState) error {
+func (r *runner) readOrder(ctx context.Context, v *rolloutState) error {
 	a, err := r.n.kv.Range(ctx, r.n.options.OrderPrefix+v.state.Order.Service, "")
 	if err != nil {
 		return err
@@ -144,7 +142,7 @@
 }
 
 // readStage takes in what the holder before has written of this order.
-func (r *rolloutRunner) readStage(ctx context.Context, v *rolloutState) error {
+func (r *runner) readStage(ctx context.Context, v *rolloutState) error {
 	a, err := r.n.kv.Range(ctx, rolloutStagePrefix+v.state.Order.Service, "")
 	if err != nil || len(a.Pairs) == 0 {
 		return err
@@ -170,7 +168,7 @@
 }
 
 // tell lets this node and, by its words, all others know of the stage that stands in the store.
-func (r *rolloutRunner) announceStage(v *rolloutState) {
+func (r *runner) announceStage(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -183,7 +181,7 @@
 }
 
 // carryOn gives a sign of life, and goes to the next stage if it is time.
-func (r *rolloutRunner) advance(ctx context.Context, v *rolloutState) {
+func (r *runner) advance(ctx context.Context, v *rolloutState) {
 	if v.state.Stage.Ended() && v.isWritten {
 		return
 	}
@@ -208,7 +206,7 @@
 	v.writtenAt = now
 	if err := r.write(ctx, v, s, f.Answers, failed); err != nil {
 		r.n.log.Info("rollout_unwritten", zap.String("service", s.Order.Service), zap.Stringer("stage", next), zap.String("cause", err.Error()))
-		delete(r.rollouts, s.Order.Service) // what stands there is read anew
+		delete(r.states, s.Order.Service) // what stands there is read anew
 		return
 	}
 	told := same && v.isWritten
@@ -222,7 +220,7 @@
 }
 
 // facts gathers what the next stage is decided by, and signs.
-func (r *rolloutRunner) facts(v *rolloutState) (rollout.Facts, int64, bool) {
+func (r *runner) facts(v *rolloutState) (rollout.Facts, int64, bool) {
 	n, o := r.n, v.state.Order
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -249,7 +247,7 @@
 
 var errNotWritten = errs.NewType("unsettled").New("the term is over, or another has written")
 
-func (r *rolloutRunner) write(ctx context.Context, v *rolloutState, s rollout.State, seen, failed int64) error {
+func (r *runner) write(ctx context.Context, v *rolloutState, s rollout.State, seen, failed int64) error {
 	key, status, err := r.n.options.EncodeStatus(s.Order, s.Stage)
 	if err != nil {
 		return err
@@ -282,7 +280,7 @@
 	return err
 }
 
-func (r *rolloutRunner) logWait(v *rolloutState, cause rollout.Cause, f rollout.Facts) {
+func (r *runner) logWait(v *rolloutState, cause rollout.Cause, f rollout.Facts) {
 	if cause == v.loggedWait {
 		return
 	}
@@ -294,7 +292,7 @@
 // rolloutStages is the stage of each service's last roll-out, by its number.
 var rolloutStages = expvar.NewMap("rollout_stage")
 
-func (r *rolloutRunner) logStage(v *rolloutState, cause rollout.Cause, f rollout.Facts, failed int64) {
+func (r *runner) logStage(v *rolloutState, cause rollout.Cause, f rollout.Facts, failed int64) {
 	o := v.state.Order
 	stage := new(expvar.Int)
 	stage.Set(int64(v.state.Stage))
--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -88,7 +88,7 @@
 func TestHolderAdvancesRollout(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
-	roll := newRolloutRunner(a)
+	roll := newRunner(a)
 	step := func() {
 		require.NoError(t, a.lease.Step(t.Context()))
 		token, held := a.lease.Token()
@@ -115,10 +115,10 @@
 func TestSuccessorResumesRollout(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
-	newRolloutRunner(a).step(t.Context(), acquireLease(t, a))
+	newRunner(a).step(t.Context(), acquireLease(t, a))
 	r.clock.Advance(16 * time.Second) // a's lease is over, and the first step's last moment nearly
 	b := r.node("b")
-	roll := newRolloutRunner(b)
+	roll := newRunner(b)
 	token := acquireLease(t, b)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageTrial)
@@ -137,7 +137,7 @@
 	r.clock.Advance(4 * time.Second)
 	b := r.node("b")
 	acquireLease(t, b)
-	newRolloutRunner(a).step(t.Context(), old)
+	newRunner(a).step(t.Context(), old)
 	v, err := r.kv.Range(t.Context(), testStatusKey, "")
 	require.NoError(t, err)
 	assert.Empty(t, v.Pairs)
@@ -153,7 +153,7 @@
 	down.Txn = func(context.Context, store.Txn) (store.TxnResult, error) { return store.TxnResult{}, store.ErrUnknown }
 	up := a.kv
 	a.kv = down
-	roll := newRolloutRunner(a)
+	roll := newRunner(a)
 	roll.step(t.Context(), token)
 	assert.Equal(t, rollout.StageWaiting, a.rollouts.trials["s"].Stage())
 	a.kv = up
@@ -165,7 +165,7 @@
 func TestWithdrawnOrder(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
-	roll, token := newRolloutRunner(a), acquireLease(t, a)
+	roll, token := newRunner(a), acquireLease(t, a)
 	roll.step(t.Context(), token)
 	a.withdrawOrder(testOrderPrefix+"s", r.order.Revision+5)
 	roll.step(t.Context(), token)
@@ -232,7 +232,7 @@
 		})
 		t.Run(v.name+", a holder", func(t *testing.T) {
 			n := newNode(t)
-			state, err := newRolloutRunner(n).read(t.Context(), n.rollouts.trials["s"].Order())
+			state, err := newRunner(n).read(t.Context(), n.rollouts.trials["s"].Order())
 			require.NoError(t, err)
 			assert.Equal(t, v.taken, state.state.Stage == rollout.StageCompleted)
 			assert.Equal(t, v.taken, n.rollouts.trials["s"].Stage() == rollout.StageCompleted, "and lets others know")
@@ -243,7 +243,7 @@
 func TestStoredStageValue(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
-	newRolloutRunner(a).step(t.Context(), acquireLease(t, a))
+	newRunner(a).step(t.Context(), acquireLease(t, a))
 	v, err := r.kv.Range(t.Context(), rolloutStagePrefix+"s", "")
 	require.NoError(t, err)
 	var b rolloutStageValue
