--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -11,10 +11,10 @@
 	"spurhall.example/spurhall/internal/lease"
 )
 
-// dutyEvery is how often the holder of the duties looks for something due.
+// dutyInterval is how often the holder of the duties checks for due work.
 const dutyInterval = 250 * time.Millisecond
 
-// duties takes the lease when it is free, and does what the platform asks of its
+// runDuties acquires the lease when it is free, and performs the duties that the platform assigns to its
 // holder.
 func (n *Node) runDuties(ctx context.Context) {
 	if !n.settings.Cloud.Usage && !n.settings.Cloud.Scale && !n.settings.Cloud.Rollouts {
@@ -71,8 +71,8 @@
 	<-done
 }
 
-// counts returns a window's counts. They are whole if every node that shares the traffic
-// has reported since the window ended.
+// usageTally returns the counts of a window. They are complete if every node that shares the traffic has
+// reported since the window ended.
 func (n *Node) usageTally(window int64) duty.Tally {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -13,23 +13,22 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file is what a node does when the store has come back from an older copy of itself. Revisions
-// bear their era (package era), and leases, conditions and watches of another era don't reach the
-// store, so lists, tokens and this node's key in the registry need nothing here. What is left:
+// This file handles the store's return from an older copy of itself. Revisions contain their era (package
+// era), and leases, conditions and watches of another era don't reach the store, so lists, tokens and this
+// node's key in the registry need no handling here. What remains:
 //
-//   - the lease of the duties is dropped at once and not with its next renewal; the next term begins
-//     with a higher token, and what a holder writes is written again in it;
-//   - watches begin anew at once, and not with the end of what they wait for;
-//   - a window's usage that may have been settled before isn't settled a second time.
+//   - the duties' lease is dropped at once instead of at its next renewal; the next term starts with a
+//     higher token, and a holder writes its records again in it;
+//   - watches restart at once instead of at the end of their wait;
+//   - the usage of a window that may have been settled before isn't settled a second time.
 
-// storeEra is the era to which the store rose last; 0: it hasn't while this process ran.
+// storeEra is the era to which the store rose last; 0: no rise during this process.
 var storeEra = expvar.NewInt("store_era")
 
-// storeReturns counts how often the store came back from a copy.
+// storeReturns counts the store's returns from a copy.
 var storeReturns = expvar.NewInt("store_returns")
 
-// eraRose takes in that the store has come back from a copy. It is called from within the call that
-// heard so.
+// onEraRise handles the store's return from a copy. It runs within the call that observed the new era.
 func (n *Node) onEraRise(r era.Rise) {
 	storeEra.Set(r.To)
 	storeReturns.Add(1)
@@ -41,8 +40,7 @@
 	n.listFollower.restart()
 }
 
-// hearEra takes in the era of a revision that another node has told of: this one may not reach the
-// store.
+// mergeEra applies the era of a revision that a peer has reported: this node may not reach the store itself.
 func (n *Node) mergeEra(peer string, revision int64) {
 	err := n.era.Hear(era.Of(revision))
 	if err != nil && !errors.Is(err, era.ErrPast) {
@@ -50,7 +48,7 @@
 	}
 }
 
-// Store tells operators what this node knows of the store.
+// Store returns this node's view of the store to operators.
 func (s *edgeService) Store(context.Context, *connect.Request[wire.StoreRequest]) (*connect.Response[wire.StoreResponse], error) {
 	n, now := s.n, s.n.clock.Now()
 	missing, upstreams := n.pools.Missing()
@@ -68,28 +66,28 @@
 	return connect.NewResponse(r), nil
 }
 
-// eraRecord is when the duties' first holder in an era began.
+// eraRecord holds the start of the first duty term in an era.
 var eraRecord = record{name: "era", key: "spurhall/era"}
 
-// eraBegan is its value.
+// eraStart is the value of eraRecord.
 type eraStart struct {
 	Era int64 `json:"era"`
 	At  int64 `json:"at"` // Unix milliseconds
 }
 
-// eraTerm is the holder's side: what may have been settled in an era before. A process that starts
-// after the store's return can't know when that was, so the first holder in an era writes down that it
-// is in one, and takes all that lies before that moment for doubtful.
+// eraTerm determines for the holder which windows may have been settled in a previous era. A process that
+// starts after the store's return can't know when that was, so the first holder in an era records its own
+// start and treats every window that ended before it as doubtful.
 type eraTerm struct {
 	loaded    bool
-	startedAt time.Time // what ended before may have been settled in an era before; zero: nothing may
+	startedAt time.Time // windows that ended before may have been settled in a previous era; zero: none may
 }
 
-// begin finds out when the era began that this term is of. It is tried again with the next step where
-// the store doesn't answer; until then all is doubtful.
+// restore reads when the era of this term started. If the store doesn't respond, the next step repeats it;
+// until then all windows are doubtful.
 func (v *eraTerm) restore(ctx context.Context, n *Node, token int64) {
 	v.startedAt = n.clock.Wall()
-	if era.Of(token) == 0 { // this store has none
+	if era.Of(token) == 0 { // the store has no eras
 		v.loaded, v.startedAt = true, time.Time{}
 		return
 	}
@@ -97,7 +95,7 @@
 	found, err := eraRecord.load(ctx, n, &w)
 	if err != nil {
 		n.log.Info("era_unread", zap.String("cause", err.Error()))
-		v.loaded = found // what can't be decoded can't be read the next time
+		v.loaded = found // a value that can't be decoded stays unreadable
 		return
 	}
 	v.loaded = true
@@ -106,10 +104,10 @@
 		v.startedAt = time.UnixMilli(w.At)
 		return
 	case n.settings.FirstStart && n.storeRestoredAt.Load() == nil:
-		v.startedAt = time.UnixMilli(0) // nobody was there before
+		v.startedAt = time.UnixMilli(0) // first start of the whole system: there was no earlier holder
 	}
 	v.loaded = eraRecord.write(ctx, n, token, eraStart{Era: era.Of(token), At: v.startedAt.UnixMilli()})
 }
 
-// doubts tells whether a window that ended then may have been settled in an era before.
+// isDoubtful reports whether a window with that end may have been settled in a previous era.
 func (v *eraTerm) isDoubtful(end time.Time) bool { return !v.loaded || end.Before(v.startedAt) }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -17,41 +17,40 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file decides who watches the store. Each change of the list of upstreams answers a
-// watch, each answer is a call that is paid for, and with a watch a node the calls grow
-// with the nodes times the changes. So two nodes of a hall watch, and the others ask one of
-// them, in a call that is held until there is news.
+// This file decides which nodes watch the store. Each change of the upstream list completes a watch, each
+// completion is a paid call, and with a watch per node the calls grow with nodes times changes. So two nodes
+// of a hall watch, and the others poll one of them with a call that is held open until there is a change.
 //
-// A node that gets no news from those that watch, or that hears of a change which they
-// lack, watches by itself for a while. A node that starts does so until it has heard from
-// others of its hall: it needs what the store has at once.
+// A node that gets no updates from the watchers, or that learns of a change which they lack, watches by
+// itself for a while. A starting node does so until it has received reports from its hall: it needs the
+// store's state at once.
 //
-// Weighed: news along with the reports between nodes. Pairs swap reports every second or
-// two in a fleet of some 80 nodes, which is what an upstream that leaves allows in all.
-// One watcher for the whole fleet: a hall that is cut off has to know of its own upstreams.
+// Alternatives considered: sending changes along with the reports between nodes. Pairs swap reports every
+// second or two in a fleet of some 80 nodes, which is all the time that a leaving upstream allows.
+// One watcher for the whole fleet: a partitioned hall has to learn of changes to its own upstreams.
 
 const (
-	// watchersAHall is how many nodes of a hall watch: the loss of one costs the others a
+	// watchersPerHall is how many nodes of a hall watch: with two, the loss of one costs the others a
 	// time-out.
 	watchersPerHall = 2
-	// followWait is how long a question without news is held, and followTimeout how long an
-	// answer may take: a watcher that froze is given up well within the time in which an
-	// upstream that leaves has to be known.
+	// followWaitLimit is how long a poll without changes is held, and followTimeout how long a response may
+	// take: a frozen watcher has to be abandoned well within the time in which a leaving upstream has to be
+	// known.
 	followWaitLimit = 400 * time.Millisecond
 	followTimeout   = followWaitLimit + 250*time.Millisecond
-	// aloneFor is how long a node watches by itself after those that watch failed it.
+	// selfWatchDuration is how long a node watches by itself after the watchers failed it.
 	selfWatchDuration = 5 * time.Second
-	// rolesEvery is how often a node looks whether it has to watch.
+	// roleCheckInterval is how often a node checks whether it has to watch.
 	roleCheckInterval = 250 * time.Millisecond
 )
 
-// errNoNews says that a node doesn't watch the store, or is behind.
+// errNoUpdates reports that a node doesn't watch the store, or that its list is behind.
 var errNoUpdates = errs.NewType("no_news").New("the node has no news of the store")
 
-// news tells those that wait when there is some.
+// changeFeed notifies waiting calls of changes to the configuration and the list.
 type changeFeed struct {
 	mu       sync.Mutex
-	notify   chan struct{} // closed by the next news
+	notify   chan struct{} // closed by the next change
 	sequence int64         // of the list
 }
 
@@ -71,24 +70,23 @@
 	v.announce()
 }
 
-// next returns the list's sequence and what is closed by the next news.
+// subscribe returns the list's sequence and a channel that the next change closes.
 func (v *changeFeed) subscribe() (int64, <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.sequence, v.notify
 }
 
-// watchers names the nodes of this hall that watch the store: those that come first in the
-// hall's order, of the ones that are heard and that the store answers, or of all that are
-// heard if it answers none. Nodes whose views differ for a moment ask one that doesn't
-// watch, and are told so.
+// watchers returns the nodes of this hall that watch the store: the first in the hall's order among the
+// responsive nodes that reach the store, or among all responsive nodes if none reaches it. While views
+// differ, a node may poll one that doesn't watch; the response says so.
 func (n *Node) watchers() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.watchersLocked(n.clock.Now())
 }
 
-// watchersAt is watchers. The node's lock is held.
+// watchersLocked is watchers with the node's lock held.
 func (n *Node) watchersLocked(now time.Time) []string {
 	silent := pair.Silent(n.peers.size())
 	heard, served := map[string]float64{n.settings.Node: n.settings.Cores}, map[string]float64{}
@@ -111,19 +109,18 @@
 	return names[:min(len(names), watchersPerHall)]
 }
 
-// watchesFor tells whether this node is one of those that watch for their hall. The node's
-// lock is held.
+// isWatcherLocked is isWatcher with the node's lock held.
 func (n *Node) isWatcherLocked(now time.Time) bool {
 	return slices.Contains(n.watchersLocked(now), n.settings.Node)
 }
 
-// isWatcher tells whether this node is one of those that watch for their hall.
+// isWatcher reports whether this node is one of the watchers of its hall.
 func (n *Node) isWatcher() bool { return slices.Contains(n.watchers(), n.settings.Node) }
 
-// watchAlone makes this node watch by itself for a while. The node's lock is held.
+// startSelfWatch makes this node watch by itself for a while. The node's lock is held.
 func (n *Node) startSelfWatch(now time.Time) { n.selfWatchUntil = now.Add(selfWatchDuration) }
 
-// watches tells whether this node has to watch the store now.
+// mustWatch reports whether this node has to watch the store now.
 func (n *Node) mustWatch() bool {
 	now := n.clock.Now()
 	n.mu.Lock()
@@ -132,7 +129,7 @@
 	return alone || !n.listed.Load() || n.currentCatalog() == nil || n.isWatcher()
 }
 
-// watch watches the store, or asks those that do, until the context ends.
+// followStore watches the store or polls the watchers until the context ends.
 func (n *Node) followStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.mustWatch() {
@@ -144,7 +141,7 @@
 	}
 }
 
-// while runs the duties for as long as the condition holds, and returns when they ended.
+// runWhile runs the tasks for as long as the condition holds, and returns when they have ended.
 func (n *Node) runWhile(ctx context.Context, holds func() bool, duties ...func(context.Context)) {
 	c, cancel := context.WithCancel(ctx)
 	var w sync.WaitGroup
@@ -161,8 +158,8 @@
 	w.Wait()
 }
 
-// followOthers asks the nodes that watch, one after the other, and makes this node watch by
-// itself when all of them have failed it in a row.
+// followWatchers polls the watchers one after the other, and makes this node watch by itself when all of
+// them have failed in a row.
 func (n *Node) followWatchers(ctx context.Context) {
 	failed := 0
 	var from listSource
@@ -189,13 +186,13 @@
 	}
 }
 
-// source is where this node's list is from.
+// listSource identifies the process and sequence that this node's list came from.
 type listSource struct {
 	lifetime string
 	sequence int64
 }
 
-// follow asks one node that watches for news, and takes them in.
+// pollWatcher requests changes from one watcher and applies them.
 func (n *Node) pollWatcher(ctx context.Context, name string, from *listSource) error {
 	n.mu.Lock()
 	p := n.peers.peers[name]
@@ -229,7 +226,7 @@
 	return nil
 }
 
-// Follow answers as soon as there is something that the asker lacks.
+// Follow responds as soon as there is a change that the caller lacks.
 func (s *edgeService) Follow(ctx context.Context, r *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
 	n := s.n
 	late, stop := n.clock.After(followWaitLimit)
@@ -250,8 +247,8 @@
 	}
 }
 
-// newsFor is what an asker lacks of this node's list, which has that sequence at least, and
-// of its configuration.
+// updatesFor returns what a caller lacks of the configuration and of this node's list, whose sequence is at
+// least the one given.
 func (n *Node) updatesFor(r *wire.FollowRequest, sequence int64) *wire.FollowResponse {
 	a := &wire.FollowResponse{Watching: n.catalogFollower.connected.Load() && n.listFollower.connected.Load(), Lifetime: n.options.Incarnation, ListSequence: sequence}
 	if !a.Watching {
--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -11,11 +11,12 @@
 	"spurhall.example/spurhall/internal/pool"
 )
 
-// This file takes in what upstreams say of themselves in their answers, whichever part of the node
-// asked them.
+// This file applies what upstreams state about themselves in their responses, whichever component of the
+// node made the call.
 
-// heard takes in one answer, to what was sent at a time. Who has the address of another upstream doesn't speak for that one.
-// While the store is away, an answer is the only word of an upstream that leaves.
+// observeResponse applies a response to a request that was sent at the given time. A response from a process
+// other than the addressed upstream says nothing about that upstream. While the store is unavailable,
+// responses are the only notice of a leaving upstream.
 func (n *Node) observeResponse(e pool.Entry, v call.Answer, sent time.Time) {
 	if v.Misplaced {
 		return
@@ -33,16 +34,16 @@
 	}
 }
 
-// wordsNoted bounds the words that are told of: each is told once for each service.
+// maxUnknownNames bounds the names that are logged, each once per service.
 const maxUnknownNames = 64
 
-// unreadWords is what upstreams say that nothing reads, by service and name.
+// unknownNames records the names in upstreams' responses that no component reads, by service and name.
 type unknownNames struct {
 	mu     sync.Mutex
 	logged map[[2]string]bool
 }
 
-// first tells whether a word hasn't been told of yet.
+// shouldLog reports whether a name hasn't been logged yet.
 func (u *unknownNames) shouldLog(service, name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -57,7 +58,7 @@
 	return true
 }
 
-// noteUnread tells of words that nothing reads: upstreams ask for something, and nobody does it.
+// logUnknownNames logs names that no component reads: the upstream requests something that won't happen.
 func (n *Node) logUnknownNames(e pool.Entry, names []string) {
 	for _, name := range names {
 		upstreamEvents.Add("words_unread", 1)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -1,19 +1,20 @@
-// Package edge is one entry VM's node on the users' platform: it owns the parts and
-// runs a goroutine for each duty.
+// Package edge implements the node of one entry VM on the users' platform: it owns the components and runs
+// a goroutine for each background task.
 //
-//	watch.go    follows the configuration and the upstreams in the store
-//	peers.go    reports to the other nodes, and takes in theirs
-//	relay.go    the same through relays, in a large fleet
-//	members.go  registers this node, and knows the others
-//	suspicions.go tells of requests that end upstreams
-//	limits.go   tells of what upstreams take from all nodes together
-//	rollouts.go moves traffic to upstreams of another version
-//	duties.go   usage reports, by the node that holds the lease
-//	serve.go    listeners, readiness, the planned stop
+//	watch.go      follows the configuration and the upstream list in the store
+//	watchers.go   decides which nodes watch the store; the others follow them
+//	peers.go      exchanges reports with the other nodes
+//	relay.go      exchanges them through relays in a large fleet
+//	members.go    registers this node and discovers the others
+//	quarantine.go shares crash evidence about requests
+//	limits.go     shares the rate limits that upstreams set for all nodes together
+//	rollouts.go   moves traffic to upstreams of another version
+//	duties.go     runs the duties of the lease holder, such as usage reports
+//	serve.go      listeners, readiness, planned stop
 //
-// A request touches no lock for longer than a map look-up and waits for no store: what
-// is agreed (configuration, upstreams) is held here and followed in the background, and
-// what is shared (quotas, the retry budget, load) is each node's part of a sum.
+// A request holds no lock for longer than a map look-up and never waits for the store: agreed state
+// (configuration, upstreams) is cached here and updated in the background, and shared state (quotas, the
+// retry budget, load) is split into per-node parts of a sum.
 package edge
 
 import (
@@ -44,35 +45,35 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// Options sets a node. The functions speak the platform's language; a node knows none
-// of its names.
+// Options configures a node. Its functions implement the platform's protocol; the node itself knows none of
+// the platform's names.
 type Options struct {
 	Settings    *Settings
 	Incarnation string // unique for this process
 	Clock       *timer.Service
 	Log         *zap.Logger
 	KV          store.KV
-	Era         *era.Clock // hears of each answer of KV before it is returned
+	Era         *era.Clock // receives the era of each response of KV before the response is returned
 	Cloud       duty.Cloud
 	Dialect     call.Dialect
-	// CatalogKey and EntryPrefix are where the store keeps the configuration and the
-	// upstreams; the functions read their values.
+	// CatalogKey and EntryPrefix locate the configuration and the upstreams in the store; DecodeCatalog and
+	// DecodeEntry decode their values.
 	CatalogKey string
-	// OperatorPrefix begins all keys that the operators write, CatalogKey and those of orders
-	// for roll-outs, which begin with OrderPrefix, among them.
+	// OperatorPrefix is the prefix of all keys that the operators write: CatalogKey and the roll-out orders
+	// below OrderPrefix among them.
 	OperatorPrefix string
 	OrderPrefix    string
 	DecodeOrder    func(key string, value []byte) (rollout.Order, error)
-	// EncodeStatus returns the key and the value of what operators read of a roll-out.
+	// EncodeStatus returns the key and value of a roll-out's status, which the operators read.
 	EncodeStatus  func(o rollout.Order, s rollout.Stage) (key string, value []byte, err error)
 	EntryPrefix   string
 	DecodeCatalog func(b []byte) (*catalog.Catalog, error)
 	DecodeEntry   func(key string, value []byte) (pool.Entry, error)
-	// FetchCachedParts asks the engine at an address which prompt parts it has cached; nil: none can.
+	// FetchCachedParts asks the engine at an address which prompt parts it has cached; nil if no engine can say.
 	FetchCachedParts func(ctx context.Context, address string) ([]call.Part, call.Answer, error)
 }
 
-// Node is one entry VM's process.
+// Node is the process of one entry VM.
 type Node struct {
 	options    Options
 	settings   *Settings
@@ -85,7 +86,7 @@
 	pools      *pool.Pools
 	lines      *forward.Lines
 	front      *forward.Server
-	quarantine *quarantine.Book // requests that end upstreams
+	quarantine *quarantine.Book // tracks requests that crash upstreams
 	lease      *lease.Lease
 
 	catalogFollower   *follower
@@ -95,48 +96,46 @@
 	changes           *changeFeed
 
 	catalog         atomic.Pointer[activeCatalog]
-	listed          atomic.Bool               // the upstreams have been read once
-	storeRestoredAt atomic.Pointer[time.Time] // when the store last came back from a copy; nil: not while this process ran
+	listed          atomic.Bool               // the upstream list has been read at least once
+	storeRestoredAt atomic.Pointer[time.Time] // when the store was last restored from a copy; nil: not during this process
 	initOnce        sync.Once
-	initialized     chan struct{} // closed when there are a configuration and upstreams
-	phase           atomic.Int32  // of a planned stop, a forward.Phase
+	initialized     chan struct{} // closed once the configuration and the upstream list are present
+	phase           atomic.Int32  // of a planned stop, as a forward.Phase
 	frontListener   atomic.Pointer[accept.Listener]
 
-	mu            sync.Mutex // for what follows
+	mu            sync.Mutex // guards the fields below
 	quotas        *quota.Quotas
 	retryWindows  map[string]*retry.Window
-	spanStartedAt time.Time // when the quotas' present span began
-	peersRead     bool      // the registry of the nodes has been read
+	spanStartedAt time.Time // start of the current quota span
+	peersRead     bool      // the registry of nodes has been read
 	usage         *usage.Book
 	peers         *peerTable
 	peerLog       peerLog
-	aggregator    *relay.Book     // what this node knows as a relay
-	relayView     relay.View      // what it knows by its relay
-	homeRelay     string          // the relay that it reports to
-	digestAt      time.Time       // when the last digest came
-	digestNodes   map[string]bool // the nodes that it told of
-	placeRetryAt  time.Time       // from when on a relay is asked to place requests
+	aggregator    *relay.Book     // state of this node as a relay
+	relayView     relay.View      // state received from this node's relay
+	homeRelay     string          // name of the relay that this node reports to
+	digestAt      time.Time       // arrival of the last digest
+	digestNodes   map[string]bool // nodes that the last digest covers
+	placeRetryAt  time.Time       // no relay is asked to place a request before this time
 
-	peerListChange   int64         // newest change of the list that other nodes told of
-	behindSince      time.Time     // since when this node lacks it; zero: it doesn't
-	loggedSuspension time.Duration // as it was told last
-	selfWatchUntil   time.Time     // until when this node watches the store by itself
+	peerListChange   int64         // newest change of the upstream list that a peer has reported
+	behindSince      time.Time     // since when this node lacks that change; zero: it doesn't
+	loggedSuspension time.Duration // total suspension of the VM at the last log line
+	selfWatchUntil   time.Time     // until when this node watches the store regardless of its role
 	rollouts         rollouts
 }
 
-// held is the configuration in force, with the bytes it was read from for a peer that
-// asks.
+// activeCatalog is the configuration in force, with the raw bytes for peers that request it.
 type activeCatalog struct {
 	catalog *catalog.Catalog
 	raw     []byte
 }
 
-// storeBackoff bounds how long the store isn't asked after failures. Upstreams whose
-// entries lapsed are believed for two seconds after the store's return, so it has to
-// be noticed well within that.
+// storeBackoff bounds how long the store isn't called after failures. Upstreams whose entries lapsed are
+// kept for two seconds after the store's return, so the return has to be noticed well within that.
 const storeBackoff = 300 * time.Millisecond
 
-// dutyKey is the store's key of the duties' lease.
+// dutyKey is the store key of the duties' lease.
 const dutyKey = "spurhall/duty"
 
 // New returns a node that isn't started.
@@ -169,7 +168,7 @@
 	return n
 }
 
-// share is this node's part of the store's rates.
+// storeShare returns this node's part of the store's call rates.
 func (n *Node) storeShare() store.GuardOptions {
 	k := float64(n.peers.size())
 	return store.GuardOptions{Reads: n.settings.Store.Reads / k, Writes: n.settings.Store.Writes / k, Backoff: storeBackoff}
@@ -182,14 +181,15 @@
 	return nil
 }
 
-// knowsMore lets requests go that wait for a configuration and upstreams, if both are there.
+// signalInitialized releases the requests that wait for the configuration and the upstream list, once both
+// are present.
 func (n *Node) signalInitialized() {
 	if n.currentCatalog() != nil && n.listed.Load() {
 		n.initOnce.Do(func() { close(n.initialized) })
 	}
 }
 
-// accept puts a configuration in force unless it is older than the one that is.
+// applyCatalog puts a configuration in force unless it is older than the current one.
 func (n *Node) applyCatalog(raw []byte, source string) {
 	c, err := n.options.DecodeCatalog(raw)
 	if err != nil {
@@ -231,15 +231,15 @@
 	n.quotas.Refund(workspace, tokens)
 }
 
-// began counts by the wall clock: usage windows are cut by it.
+// countStarted counts by the wall clock, which defines the usage windows.
 func (n *Node) countStarted(workspace string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.usage.Add(n.clock.Wall(), workspace)
 }
 
-// budgetShare is the part of the operators' retry budget that is used: a node that was
-// killed forgets what it spent, and may spend its part again.
+// retryBudgetShare is the part of the operators' retry budget that is used: a node that was killed loses the
+// count of its retries and may use its part again.
 const retryBudgetShare = 0.7
 
 func (n *Node) retryWindow(service string) *retry.Window {
@@ -267,7 +267,7 @@
 
 var (
 	catalogVersion  = expvar.NewInt("catalog_version")
-	storeUp         = expvar.NewMap("store_up") // by reader: 0 in touch, -1 not
+	storeUp         = expvar.NewMap("store_up") // by reader: 0 connected, -1 disconnected
 	upstreamEvents  = expvar.NewMap("upstream_events")
 	responsivePeers = expvar.NewInt("peers_heard")
 )
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -20,36 +20,36 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// This file is what nodes tell each other: pairs swap reports, paced by package pair. A report
-// is the whole state of the moment or counts since the process began: a lost one is made
-// good by the next.
+// This file exchanges state between nodes: pairs of nodes swap reports, paced by package pair. A report
+// holds the whole current state, or counts since the process started, so the next one makes up for a lost
+// one.
 
 const (
 	reportTimeout = 600 * time.Millisecond
-	// lookedBy is how old a process is when the nodes that it has heard from count as all
-	// there are, if the registry can't be read: some rounds.
+	// peersWait is the age of a process from which on the nodes that it has received reports from count as all
+	// nodes, if the registry can't be read: a few rounds.
 	peersWait = time.Second
 )
 
-// peer is another node as this one knows it.
+// peer is another node as this node knows it.
 type peer struct {
 	name           string
 	address        string
-	hall           string // empty: not heard yet
+	hall           string // empty: no report received yet
 	leaving        bool
-	storeUp        bool // the store answers it
+	storeUp        bool // the store is available to it
 	cores          float64
 	incarnation    string
 	sequence       uint64
 	lastSeen       time.Time
 	lastCalled     time.Time // by this node
 	lastListed     time.Time // last seen in the store's registry
-	busy           bool      // a call is under way
-	silenceLogged  bool      // its silence was logged
-	lastFailure    string    // of the last call; empty: it was answered
+	busy           bool      // a call is in progress
+	silenceLogged  bool      // its silence has been logged
+	lastFailure    string    // of the last call; empty: it succeeded
 	client         wireconnect.EdgeClient
-	oneShot        wireconnect.EdgeClient // the same, without keeping a connection
-	catalogVersion int64                  // of its catalog
+	oneShot        wireconnect.EdgeClient // like client, but without keeping connections
+	catalogVersion int64                  // of its configuration
 	listRevision   int64                  // of its upstream list
 	work           map[string]capacity.Work
 	trials         []rollout.Word
@@ -57,7 +57,7 @@
 	relay          relayState
 }
 
-// table is the other nodes. Its fields are guarded by the node's lock.
+// peerTable holds the other nodes. Its fields are guarded by the node's lock.
 type peerTable struct {
 	n         *Node
 	peers     map[string]*peer
@@ -66,9 +66,9 @@
 	sequence  uint64
 }
 
-// keepPairs is how often pairs have to swap for their connections to be kept in between. A
-// connection takes 40 kB, half of it at each end (BenchmarkPeerConnections), so a node of 300
-// held 6 MB for peers that it calls each six seconds. Opening them anew is some 25 a second.
+// maxKeptInterval is the longest swap interval for which a pair keeps its connection. A connection takes
+// 40 kB, half of it at each end (BenchmarkPeerConnections), so a node of 300 held 6 MB for peers that it
+// calls every six seconds. Reopening them takes some 25 connections a second.
 const maxKeptInterval = 2 * time.Second
 
 func newPeerTable(n *Node) *peerTable {
@@ -82,7 +82,7 @@
 	}
 }
 
-// size is the number of nodes that share quotas and budgets, this one included.
+// size returns the number of nodes that share quotas and budgets, this one included.
 func (t *peerTable) size() int { return len(t.peers) + 1 }
 
 func (t *peerTable) getOrAdd(name, address string) *peer {
@@ -104,7 +104,7 @@
 	return wireconnect.NewEdgeClient(t.keepAlive, "http://"+address)
 }
 
-// pair returns what a pair's reports go through.
+// pairClient returns the client for the reports of a pair.
 func (t *peerTable) pairClient(p *peer) wireconnect.EdgeClient {
 	if pair.Every(t.size()) > maxKeptInterval {
 		return p.oneShot
@@ -112,7 +112,7 @@
 	return p.client
 }
 
-// due returns the nodes to call in this round.
+// due returns the peers to call in this round.
 func (t *peerTable) due(now time.Time) []*peer {
 	others := make([]pair.Other, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -125,7 +125,7 @@
 	return list
 }
 
-// names returns the other nodes' names.
+// names returns the names of the other nodes.
 func (t *peerTable) names() []string {
 	r := make([]string, 0, len(t.peers))
 	for n := range t.peers {
@@ -134,7 +134,7 @@
 	return r
 }
 
-// rounds reports to the others until the context ends.
+// runRounds reports to the peers until the context ends.
 func (n *Node) runRounds(ctx context.Context) {
 	n.clock.Every(ctx, pair.Round, func(now time.Time) { n.reportRound(ctx, now) })
 }
@@ -173,8 +173,8 @@
 	}
 }
 
-// noteSuspension tells that the VM was suspended: what was believed before is older than the
-// steady clock says, and timers come late. The node's lock is held.
+// logSuspension logs that the VM was suspended: cached state is older than the monotonic clock indicates,
+// and timers fire late. The node's lock is held.
 func (n *Node) logSuspension() {
 	if d := n.clock.Suspended(); d > n.loggedSuspension {
 		n.log.Warn("vm_suspended", zap.Duration("for", d-n.loggedSuspension), zap.Duration("in_all", d))
@@ -182,8 +182,8 @@
 	}
 }
 
-// hallReach is what the other nodes of this hall have told of whom they couldn't reach. The
-// node's lock is held.
+// hallReach combines the reports of this hall's other nodes on what they couldn't reach. The node's lock is
+// held.
 func (n *Node) hallReach(now time.Time) pool.Reach {
 	var sum pool.Reach
 	for _, p := range n.peers.peers {
@@ -194,11 +194,11 @@
 	return sum
 }
 
-// knowsOthers tells whether what this process knows of other nodes is taken for all there are. One that has just
-// begun and that the store doesn't answer isn't alone, though it has heard of nobody. The node's lock is held.
+// knowsPeers reports whether the known peers count as all other nodes. A process that has just started
+// without reaching the store isn't the only node, though no peer has reported to it. The node's lock is held.
 func (n *Node) knowsPeers(now time.Time) bool { return n.peersRead || now.Sub(n.start) > peersWait }
 
-// shareQuotas begins a new span of the quotas once every pair has had its turn.
+// startQuotaSpan starts a new span of the quotas once every pair has had its turn.
 func (n *Node) startQuotaSpan(now time.Time) {
 	if n.knowsPeers(now) {
 		n.quotas.SetPeers(now, n.peers.names())
@@ -214,7 +214,7 @@
 	n.quotas.Round(now, every, lag)
 }
 
-// tell swaps reports with one node.
+// swapReports swaps reports with one peer.
 func (n *Node) swapReports(ctx context.Context, p *peer, r *wire.NodeReport) {
 	c, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -233,11 +233,11 @@
 	}
 }
 
-// pairWindows is how many usage windows a report to another node tells of: the one under way
-// and those that a holder of the duties may still have to report.
+// pairWindows is how many usage windows a report to a peer contains: the current one and those that a holder
+// of the duties may still have to report.
 const pairWindows = 5
 
-// report is this node's state, with the counts of so many of the newest usage windows.
+// buildReport returns this node's state, with the counts of the given number of newest usage windows.
 func (n *Node) buildReport(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
@@ -267,7 +267,7 @@
 	return r
 }
 
-// newest is the newest of some windows.
+// newestWindows returns the given number of newest windows.
 func (n *Node) newestWindows(w usage.Windows, windows int64) usage.Windows {
 	r := make(usage.Windows, windows)
 	for k := n.usage.Window(n.clock.Wall()); windows > 0; k, windows = k-1, windows-1 {
@@ -278,7 +278,7 @@
 	return r
 }
 
-// takeIn takes in another node's report.
+// applyReport applies a peer's report.
 func (n *Node) applyReport(ctx context.Context, r *wire.NodeReport) {
 	if r.GetNode() == "" || r.Node == n.settings.Node {
 		return
@@ -298,7 +298,7 @@
 	n.catchUp(ctx, r)
 }
 
-// admitReport takes in what adds up, and tells whether the report is news.
+// mergeReport merges the cumulative parts of a report, and reports whether it is newer than the last one.
 func (n *Node) mergeReport(r *wire.NodeReport) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -323,7 +323,7 @@
 	return true
 }
 
-// catchUp asks a node that knows more, when the store doesn't tell this one.
+// catchUp requests newer state from the sender of a report if this node can't get it from the store.
 func (n *Node) catchUp(ctx context.Context, r *wire.NodeReport) {
 	have := int64(-1)
 	if c := n.currentCatalog(); c != nil {
@@ -363,7 +363,7 @@
 	}
 }
 
-// takeList takes a peer's upstream list while the store doesn't answer this node.
+// applyList applies a peer's upstream list while the store is unavailable to this node.
 func (n *Node) applyList(name string, m *wire.CatchUpResponse) {
 	if m.ListRevision <= n.pools.Revision() || n.guard.Up() {
 		return
@@ -374,7 +374,7 @@
 	n.signalInitialized()
 }
 
-// edgeService is what other nodes may ask of this one.
+// edgeService serves the calls of other nodes.
 type edgeService struct{ n *Node }
 
 // Report swaps reports.
@@ -385,7 +385,7 @@
 	return connect.NewResponse(&wire.ReportResponse{Report: s.n.buildReport(pairWindows)}), nil
 }
 
-// CatchUp gives what the asker lacks.
+// CatchUp returns what the caller lacks.
 func (s *edgeService) CatchUp(_ context.Context, r *connect.Request[wire.CatchUpRequest]) (*connect.Response[wire.CatchUpResponse], error) {
 	a := &wire.CatchUpResponse{}
 	if h := s.n.catalog.Load(); h != nil && h.catalog.Version() > r.Msg.CatalogVersion {
--- a/internal/edge/place.go
+++ b/internal/edge/place.go
@@ -13,21 +13,21 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file asks a relay where to send a request; pool/placed.go says why. A relay that
-// doesn't answer at once isn't waited for: the node chooses by itself, as it does in a small
-// fleet and for whatever has failed once.
+// This file asks a relay to choose an upstream for a request; package pool gives the reasons. A relay that
+// doesn't respond at once isn't waited for: the node chooses by itself, as it does in a small fleet and after
+// a failed attempt.
 
-// placeTimeout is how long a relay is waited for: some times what a busy one of 0.2 cores
-// takes for a call, by estimate, and an eighth of the shortest latency target of an engine, 250 ms.
+// placeTimeout is how long a relay is waited for: by estimate, several times what a busy relay with 0.2
+// cores takes for a call, and an eighth of the shortest latency target of an engine, 250 ms.
 const (
 	placeTimeout = 30 * time.Millisecond
-	// placePause is how long a relay that didn't answer in time isn't asked: until the next
-	// report to it, whose failure makes this node turn to another.
+	// placeRetryPause is how long a relay that didn't respond in time isn't asked: until the next report to it,
+	// whose failure makes this node switch to another relay.
 	placeRetryPause = pair.Round
 )
 
-// place returns the upstream that this node's relay chooses for a request, or nothing if
-// the node is to choose.
+// placeByRelay returns the upstream that this node's relay chooses for a request, or "" if the node itself
+// is to choose.
 func (n *Node) placeByRelay(ctx context.Context, v pool.Need) string {
 	n.mu.Lock()
 	p := n.peers.peers[n.homeRelay]
@@ -45,7 +45,7 @@
 	}
 	a, err := p.client.Place(c, connect.NewRequest(r))
 	if ctx.Err() != nil {
-		return "" // the caller has left, which tells nothing of the relay
+		return "" // the caller has left, which says nothing about the relay
 	}
 	if err != nil {
 		n.mu.Lock()
@@ -57,8 +57,8 @@
 	return a.Msg.Upstream
 }
 
-// Place chooses an upstream for a request of another node. One that has waited for longer than its node does isn't
-// placed any more: it would take an upstream's turn, and count as load, for nobody.
+// Place chooses an upstream for a request of another node. A call that has exceeded its node's time-out is rejected:
+// its placement would use the upstream's rate, and count as load, without a request being sent.
 func (s *edgeService) Place(ctx context.Context, r *connect.Request[wire.PlaceRequest]) (*connect.Response[wire.PlaceResponse], error) {
 	m := r.Msg
 	if ctx.Err() != nil {
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -11,20 +11,19 @@
 	"spurhall.example/spurhall/internal/relay"
 )
 
-// This file asks the engines what they have cached when a process starts amid the work, as
-// all do after a loss of all nodes. The list holds up the engine's work, so each engine is
-// asked once, by one of the relays of its hall, and the answer goes on to the others as
-// placements do. Asking only once it is clear that no node is left that knows took a second
-// more, in which most of the callers came back.
+// This file asks the engines which prompt parts they have cached when a process starts in a running system,
+// as all processes do after a loss of all nodes. Listing delays the engine's work, so only one of the relays
+// of its hall asks each engine, once, and the result spreads like placements. Asking only after it is certain
+// that no remaining node has the data took a second more, in which most of the callers had reconnected.
 
 const (
-	// recallWithin is how long after its start a process waits until it has found the
-	// others: without them it can't tell which engines fall to it.
+	// cachedWaitLimit is how long after its start a process waits to discover the other nodes: without them
+	// it can't determine which engines are assigned to it.
 	cachedWaitLimit = 500 * time.Millisecond
 	cachedPoll      = 20 * time.Millisecond
 )
 
-// recallCached asks this node's part of the engines.
+// restoreCachedParts asks the engines that are assigned to this node.
 func (n *Node) restoreCachedParts(ctx context.Context) {
 	if n.settings.FirstStart || n.options.FetchCachedParts == nil {
 		return
@@ -56,14 +55,14 @@
 	}
 }
 
-// foundOthers tells whether the registry of the nodes has been read.
+// hasReadRegistry reports whether the registry of nodes has been read.
 func (n *Node) hasReadRegistry() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peersRead
 }
 
-// enginesToAsk returns the engines of this hall that fall to this node.
+// assignedEngines returns the engines of this hall that are assigned to this node.
 func (n *Node) assignedEngines() []pool.Entry {
 	n.mu.Lock()
 	relays := relay.Relays(n.hallNodes(n.clock.Now(), n.settings.Hall))
--- a/internal/edge/record.go
+++ b/internal/edge/record.go
@@ -9,9 +9,8 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file is what a holder of the duties leaves to the next one: a value in the store,
-// read at the start of a term and written while the term lasts. What stands there outlives
-// all processes.
+// This file stores what a holder of the duties leaves to its successor: a value in the store, read at the
+// start of a term and written while the term lasts. It survives the loss of all processes.
 
 // record is one such value.
 type record struct {
@@ -19,8 +18,7 @@
 	key  string // in the store
 }
 
-// read takes in what the holder before has written, and tells whether there was anything
-// that could be read.
+// read decodes what the previous holder has written, and reports whether there was a readable value.
 func (r record) read(ctx context.Context, n *Node, into any) bool {
 	found, err := r.load(ctx, n, into)
 	if err != nil {
@@ -29,8 +27,8 @@
 	return found && err == nil
 }
 
-// load is read for those who ask again where the store doesn't answer: found says that there is
-// something, also where it can't be read and asking again is no use.
+// load is read for callers that retry while the store is unavailable: found reports that a value exists, also
+// if it can't be decoded, in which case a retry is useless.
 func (r record) load(ctx context.Context, n *Node, into any) (found bool, err error) {
 	a, err := n.kv.Range(ctx, r.key, "")
 	if err != nil || len(a.Pairs) == 0 {
@@ -39,9 +37,8 @@
 	return true, json.Unmarshal(a.Pairs[0].Value, into)
 }
 
-// write puts the value into the store on condition that the term lasts. It tells whether
-// that is done with: the value stands there, or the term is over and the next holder's word
-// counts. What can't be written is to be tried again.
+// write stores the value on condition that the term lasts. It reports whether no retry is needed: the value
+// is stored, or the term is over and the next holder's value counts.
 func (r record) write(ctx context.Context, n *Node, token int64, value any) bool {
 	b, err := json.Marshal(value)
 	if err == nil {
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -17,43 +17,42 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file carries what nodes tell each other through relays (package relay) in fleets in
-// which not all pairs of nodes swap reports in each round. Pairs go on swapping, slowly:
-// what they tell counts for each node that the relays don't tell of.
+// This file exchanges state through relays (package relay) in fleets in which not all pairs of nodes swap
+// reports in each round. Pairs still swap, more slowly: their reports count for each node that the relays'
+// digests don't cover.
 
 const (
-	relayTimeout = 400 * time.Millisecond // a round, and what a busy relay takes
-	// relayPoll is how often a process that starts looks whether it has found the others.
+	relayTimeout = 400 * time.Millisecond // a round, and the response time of a busy relay
+	// relayPoll is how often a starting process checks whether it has discovered the other nodes.
 	relayPoll = 20 * time.Millisecond
-	// relayedFor is how long after the last digest a node goes by what relays tell, and
-	// relayLag how old the word of a node is that comes over two relays: two rounds on the
-	// way, and one until the next digest.
+	// digestLifetime is how long after the last digest a node relies on it. maxRelayLag is the greatest age of
+	// a node's report that arrives through two relays: two rounds in transit, and one until the next digest.
 	digestLifetime = 4 * pair.Round
 	maxRelayLag    = 3 * pair.Round
-	// relaySpan is a span of the quotas where digests come in each round.
+	// relayQuotaSpan is the span of the quotas while a digest arrives in each round.
 	relayQuotaSpan = 2 * pair.Round
-	// relayWindows is how many usage windows a node tells its relay of: the one under way,
-	// and the one before, which may have ended since the last report.
+	// relayWindows is how many usage windows a report to a relay contains: the current one and the previous
+	// one, which may have ended since the last report.
 	relayWindows = 2
-	// reportTakes is what passes at most between the making of a report and its arrival in
-	// calm, so that it may lack what was placed for its node since.
+	// maxReportDelay bounds the time from building a report to its arrival without faults. A report may lack
+	// placements made for its node within that time.
 	maxReportDelay = 20 * time.Millisecond
-	// relayFailed is how long a relay that failed isn't asked unless it is heard again.
+	// relayRetryPause is how long a failed relay isn't called unless it reports again.
 	relayRetryPause = 5 * time.Second
 )
 
-// relaying is what a node knows of another one as a relay.
+// relayState is what a node knows of a peer as a relay.
 type relayState struct {
-	failedAt         time.Time // when it last didn't answer
-	lastCalled       time.Time // when it was last asked for a swap
-	lastSwapped      time.Time // when it last swapped
-	busy             bool      // a swap is under way
-	knownIncarnation string    // of this process, as it knows it, with the version it knows
+	failedAt         time.Time // when it last failed to respond
+	lastCalled       time.Time // last call for a swap
+	lastSwapped      time.Time // last successful swap
+	busy             bool      // a swap is in progress
+	knownIncarnation string    // incarnation of this process that the relay knows, up to knownVersion
 	knownVersion     uint64
 }
 
-// relay reports to a relay, or is one, until the context ends. A process that starts does
-// so as soon as it has found the others.
+// runRelay reports to a relay, or acts as one, until the context ends. A starting process does so as soon as
+// it has discovered the other nodes.
 func (n *Node) runRelay(ctx context.Context) {
 	for !n.relayStep(ctx) {
 		if n.clock.Since(n.start) > peersWait || n.clock.Sleep(ctx, relayPoll) != nil {
@@ -63,7 +62,7 @@
 	n.clock.Every(ctx, pair.Round, func(time.Time) { n.relayStep(ctx) })
 }
 
-// relayStep does a round, if the fleet is large, and tells whether it did.
+// relayStep runs a round if the fleet is large, and reports whether it did.
 func (n *Node) relayStep(ctx context.Context) bool {
 	n.mu.Lock()
 	large := pair.Every(n.peers.size()) > pair.Round
@@ -95,8 +94,7 @@
 	n.swapWithRelays(ctx, now)
 }
 
-// hallNodes returns the nodes of a hall that may be its relays, in order. The node's lock is
-// held.
+// hallNodes returns the nodes of a hall that may be its relays, in order. The node's lock is held.
 func (n *Node) hallNodes(now time.Time, hall string) []string {
 	nodes := make(map[string]float64)
 	if hall == n.settings.Hall && !n.isLeaving() {
@@ -111,13 +109,13 @@
 	return relay.Order(nodes)
 }
 
-// isThere tells whether another node is heard or stands in the registry. The node's lock is held.
+// isPresent reports whether a peer is responsive or listed in the registry. The node's lock is held.
 func (n *Node) isPresent(now time.Time, p *peer) bool {
 	return now.Sub(p.lastSeen) <= pair.Silent(n.peers.size()) || now.Sub(p.lastListed) <= 2*registryReadInterval
 }
 
-// relays returns some of the relays of all halls, as this node sees them: of a hall's nodes in order, those that a
-// function of package relay picks. The node's lock is held.
+// relaysOfAllHalls returns some of the relays of all halls as this node sees them: those that a function of package
+// relay picks from a hall's ordered nodes. The node's lock is held.
 func (n *Node) relaysOfAllHalls(now time.Time, some func(ordered []string) []string) []string {
 	list := some(n.hallNodes(now, n.settings.Hall))
 	for hall := range n.settings.Halls {
@@ -129,7 +127,7 @@
 	return list
 }
 
-// reportTo tells a relay what this node has, and takes in what it knows of the others.
+// reportToRelay sends this node's report to a relay, and applies the digest that it responds with.
 func (n *Node) reportToRelay(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
@@ -150,14 +148,14 @@
 	}
 }
 
-// takeGathered takes in what a relay answered.
+// applyGatherResponse applies a relay's response to a report.
 func (n *Node) applyGatherResponse(name string, a *wire.GatherResponse) {
 	n.applyDigest(name, message.DigestFromWire(a))
 	n.mergeSuspicions(a.Suspicions, name)
 	n.mergeLimits(a.Limits, name)
 }
 
-// noteRelay takes in whether a relay answered.
+// recordRelayCall records whether a relay responded.
 func (n *Node) recordRelayCall(p *peer, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,7 +173,7 @@
 	n.log.Info("relay_failed", zap.String("relay", p.name), zap.String("cause", err.Error()))
 }
 
-// takeDigest takes in what a relay knows of the other nodes.
+// applyDigest applies a relay's digest of the other nodes.
 func (n *Node) applyDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
@@ -197,21 +195,21 @@
 	n.applyReach(d.Reach)
 }
 
-// takeReach takes in what the other nodes of the hall couldn't reach.
+// applyReach applies what the other nodes of the hall couldn't reach.
 func (n *Node) applyReach(r pool.Reach) {
 	for _, h := range n.pools.TakeReach(r) {
 		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreached)), zap.Duration("answered", r.Answered[h]))
 	}
 }
 
-// settle notes that this node places the requests of the nodes of its own share, and drops
-// those that the share tells of by now. The node's lock is held.
+// confirmPlacements marks the share of this node's own nodes as complete, as this node places their requests,
+// and drops the pending placements that the share already contains. The node's lock is held.
 func (n *Node) confirmPlacements(shares []pool.Share) {
 	shares[0].Whole = true
 	n.pools.Settle(func(node string, at time.Time) bool { return n.aggregator.Heard(node).After(at.Add(maxReportDelay)) })
 }
 
-// swapAll swaps with the other relays whose turn it is.
+// swapWithRelays swaps with the other relays whose turn it is.
 func (n *Node) swapWithRelays(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -228,7 +226,7 @@
 	}
 }
 
-// swap tells another relay of this one's nodes, and takes in its word of its own.
+// swapWithRelay sends the state of this relay's nodes to another relay, and applies what that one returns.
 func (n *Node) swapWithRelay(ctx context.Context, p *peer) {
 	c, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -253,11 +251,11 @@
 	n.applyGroup(a.Msg.Group)
 }
 
-// errNoGroup says that a relay's answer holds nothing.
+// errNoGroup reports that a relay's response is empty.
 var errNoGroup = errs.NewType("no_group").New("the relay's answer is empty")
 
-// groupFor is this relay's word for another one that knows it up to a version. The node's
-// lock is held.
+// buildGroup returns this relay's state for another relay that knows it up to a version. The node's lock is
+// held.
 func (n *Node) buildGroup(name, lifetime string, version uint64) *wire.Group {
 	v := n.aggregator.Group(n.clock.Now(), n.aggregator.Version(lifetime, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
@@ -268,7 +266,7 @@
 	return g
 }
 
-// takeGroup takes in another relay's word of its nodes.
+// applyGroup applies the state of another relay's nodes.
 func (n *Node) applyGroup(w *wire.Group) {
 	n.mergeSuspicions(w.Suspicions, w.Relay)
 	n.mergeLimits(w.Limits, w.Relay)
@@ -290,7 +288,7 @@
 	}
 }
 
-// Gather takes in a report, and answers with what this node knows of the others.
+// Gather applies a report, and responds with what this node knows of the others.
 func (s *edgeService) Gather(ctx context.Context, r *connect.Request[wire.GatherRequest]) (*connect.Response[wire.GatherResponse], error) {
 	if r.Msg.Report == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("the report is missing"))
@@ -308,7 +306,7 @@
 	return connect.NewResponse(a), nil
 }
 
-// Swap takes in another relay's word, and answers with this one's.
+// Swap applies another relay's state, and responds with this relay's.
 func (s *edgeService) Swap(_ context.Context, r *connect.Request[wire.SwapRequest]) (*connect.Response[wire.SwapResponse], error) {
 	g := r.Msg.Group
 	if g == nil {
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -12,40 +12,39 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file carries out roll-outs at the node that holds the duties' lease: it decides when
-// the next stage begins (rollout/plan.go), writes it to the store and tells the others.
+// This file carries out roll-outs at the node that holds the duties' lease: it decides when the next stage
+// starts (package rollout), writes it to the store and announces it to the other nodes.
 //
-// What stands in the store is written in one transaction, on condition that the term lasts
-// and nobody else has written: the status that the operators read, and the stage with the
-// time since when, from which a successor goes on. A stage that the store hasn't taken isn't
-// told to anybody.
+// The store's values are written in one transaction, on condition that the term lasts and no other process
+// has written: the status that the operators read, and the stage with its start time, from which a successor
+// continues. A stage is announced only after the store has accepted it.
 
-// rollingPrefix begins the store's keys of the stages.
+// rolloutStagePrefix is the prefix of the store keys of the stages.
 const rolloutStagePrefix = "spurhall/rollout/"
 
-// rollingValue is what stands in the store of a roll-out.
+// rolloutStageValue is the stored state of a roll-out.
 type rolloutStageValue struct {
 	Order     int64         `json:"order"` // revision
 	Target    string        `json:"target"`
-	StartedMs int64         `json:"began_ms"` // of the wall clock
+	StartedMs int64         `json:"began_ms"` // Unix time
 	SinceMs   int64         `json:"since_ms"`
 	Stage     rollout.Stage `json:"stage"`
-	Answers   int64         `json:"answers"` // of the target, seen before the stage
-	Seen      int64         `json:"seen"`    // of the target, seen when this was written
+	Answers   int64         `json:"answers"` // of the target, counted before the stage
+	Seen      int64         `json:"seen"`    // of the target, counted when this was written
 	Failed    int64         `json:"failed"`
 }
 
-// rolling is a roll-out as the holder of the duties knows it.
+// rolloutState is a roll-out as the holder of the duties knows it.
 type rolloutState struct {
 	state          rollout.State
-	withdrawn      bool          // the order was taken back
-	statusRevision int64         // revision of the status' key; 0: absent
-	isWritten      bool          // the status of this order stands there
+	withdrawn      bool          // the order was withdrawn
+	statusRevision int64         // revision of the status key; 0: absent
+	isWritten      bool          // the status of this order is stored
 	writtenAt      time.Time     // when the stage was last written
-	loggedWait     rollout.Cause // that was logged last
+	loggedWait     rollout.Cause // cause that was logged last
 }
 
-// roller is the holder's side.
+// runner advances roll-outs for the holder of the duties.
 type runner struct {
 	n      *Node
 	token  int64 // of the term that the states belong to
@@ -54,7 +53,7 @@
 
 func newRunner(n *Node) *runner { return &runner{n: n, states: make(map[string]*rolloutState)} }
 
-// step goes on with each roll-out.
+// step advances each roll-out.
 func (r *runner) step(ctx context.Context, token int64) {
 	if token != r.token {
 		r.token, r.states = token, make(map[string]*rolloutState)
@@ -73,7 +72,7 @@
 	}
 }
 
-// orders returns the orders that this node knows of.
+// rolloutOrders returns the orders that this node knows.
 func (n *Node) rolloutOrders() []rollout.Order {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +83,8 @@
 	return list
 }
 
-// read finds out how far a roll-out has come. The order itself is read, too: this node may
-// have heard of it by others, who tell no duration.
+// read restores the progress of a roll-out. It reads the order itself, too: this node may know it only from
+// peers, whose updates don't contain the duration.
 func (r *runner) read(ctx context.Context, o rollout.Order) (*rolloutState, error) {
 	v := &rolloutState{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
 	v.state.Since = v.state.Began
@@ -110,8 +109,8 @@
 	return v, nil
 }
 
-// goOn takes in how far this node knows the roll-out to have come, where the store has lost that: an
-// exposure doesn't begin again, and a version that was taken back isn't tried again.
+// restoreFromTrial applies the progress that this node knows of where the store has lost it: an exposure doesn't
+// start again, and a version that was rolled back isn't tried again.
 func (r *runner) restoreFromTrial(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// readStage takes in what the holder before has written of this order.
+// readStage restores what the previous holder has written about this order.
 func (r *runner) readStage(ctx context.Context, v *rolloutState) error {
 	a, err := r.n.kv.Range(ctx, rolloutStagePrefix+v.state.Order.Service, "")
 	if err != nil || len(a.Pairs) == 0 {
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// tell lets this node and, by its words, all others know of the stage that stands in the store.
+// announceStage applies the stored stage to this node, whose updates propagate it to all others.
 func (r *runner) announceStage(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
@@ -180,7 +179,7 @@
 	n.applySplit(n.clock.Now(), v.state.Order.Service)
 }
 
-// carryOn gives a sign of life, and goes to the next stage if it is time.
+// advance renews the trial's keep-alive, and moves to the next stage when it is due.
 func (r *runner) advance(ctx context.Context, v *rolloutState) {
 	if v.state.Stage.Ended() && v.isWritten {
 		return
@@ -206,7 +205,7 @@
 	v.writtenAt = now
 	if err := r.write(ctx, v, s, f.Answers, failed); err != nil {
 		r.n.log.Info("rollout_unwritten", zap.String("service", s.Order.Service), zap.Stringer("stage", next), zap.String("cause", err.Error()))
-		delete(r.states, s.Order.Service) // what stands there is read anew
+		delete(r.states, s.Order.Service) // the stored state is read again
 		return
 	}
 	told := same && v.isWritten
@@ -219,7 +218,7 @@
 	r.logStage(v, cause, f, failed)
 }
 
-// facts gathers what the next stage is decided by, and signs.
+// facts gathers the inputs of the next decision, and renews the trial's keep-alive.
 func (r *runner) facts(v *rolloutState) (rollout.Facts, int64, bool) {
 	n, o := r.n, v.state.Order
 	n.mu.Lock()
@@ -241,8 +240,9 @@
 	return f, failed, true
 }
 
-// errUnsettled says that somebody else has written, or the term is over.
-// errStage says that the stage in the store is none that this version knows: the holder leaves it to one that does.
+// errNotWritten reports that another process has written, or that the term is over.
+// errUnknownStage reports a stored stage that this version doesn't know: the holder leaves the roll-out to
+// a version that does.
 var errUnknownStage = errs.NewType("stage").New("the stage in the store isn't known here")
 
 var errNotWritten = errs.NewType("unsettled").New("the term is over, or another has written")
@@ -289,7 +289,7 @@
 		zap.Int64("answers", f.Answers), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
 }
 
-// rolloutStages is the stage of each service's last roll-out, by its number.
+// rolloutStages holds the stage number of each service's last roll-out.
 var rolloutStages = expvar.NewMap("rollout_stage")
 
 func (r *runner) logStage(v *rolloutState, cause rollout.Cause, f rollout.Facts, failed int64) {
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -15,27 +15,27 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file carries a node's side of roll-outs (package rollout): it takes in orders, tells
-// the others what it sees and hears what they see, and keeps the pools to what is decided.
-// rolling.go is the side of the duties' holder.
+// This file implements a node's part in roll-outs (package rollout): it applies orders, shares its
+// observations with the other nodes and merges theirs, and applies the decisions to the pools.
+// rollout_runner.go is the part of the duties' holder.
 //
-// The nodes that watch the store for their hall read orders with the configuration, which
-// stands under the same prefix: no call more. All others learn of an order by the words of
-// others, which name its target and its stage.
+// The nodes that watch the store for their hall read orders with the configuration, which is stored under
+// the same prefix: this takes no additional call. All others learn of an order from the updates of their
+// peers, which contain its target and its stage.
 
 // rollouts is what this node knows of roll-outs. It is guarded by the node's lock.
 type rollouts struct {
 	trials       map[string]*rollout.Trial  // by service
-	barred       map[string]map[string]bool // versions that take nothing any more, by service
-	withdrawn    map[string]int64           // revision at which an order was taken back, by service
-	digestTrials []rollout.Word             // as the relay told last
+	barred       map[string]map[string]bool // versions that get no requests any more, by service
+	withdrawn    map[string]int64           // revision at which an order was withdrawn, by service
+	digestTrials []rollout.Word             // from the last digest
 }
 
 func newRollouts() rollouts {
 	return rollouts{trials: make(map[string]*rollout.Trial), barred: make(map[string]map[string]bool), withdrawn: make(map[string]int64)}
 }
 
-// takeOrder takes in a pair of the operators' keys that is an order.
+// applyOrder applies a key of the operators that is an order.
 func (n *Node) applyOrder(p store.Pair, source string) {
 	o, err := n.options.DecodeOrder(p.Key, p.Value)
 	if err != nil {
@@ -48,7 +48,7 @@
 	n.startTrial(o, source)
 }
 
-// takeBack takes in that the key of an order is gone.
+// withdrawOrder records that the key of an order was deleted.
 func (n *Node) withdrawOrder(key string, revision int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,8 +59,8 @@
 	}
 }
 
-// recallRollouts reads how far the roll-outs are that this process found when it started: after
-// the end of one, the version before is gone.
+// restoreRollouts reads the progress of the roll-outs that this process found at its start: after a completed
+// one, the previous version is gone.
 func (n *Node) restoreRollouts(ctx context.Context) {
 	select {
 	case <-n.initialized:
@@ -97,8 +97,8 @@
 	}
 }
 
-// beginTrial begins this node's side of an order, if it is newer than what it knows. The
-// node's lock is held.
+// startTrial starts this node's part of an order that is newer than the one it knows. The node's lock is
+// held.
 func (n *Node) startTrial(o rollout.Order, source string) {
 	r := &n.rollouts
 	old := r.trials[o.Service]
@@ -126,7 +126,7 @@
 	n.applySplit(n.clock.Now(), o.Service)
 }
 
-// hearWords takes in what is known of roll-outs elsewhere. The node's lock is held.
+// mergeTrials merges what other nodes know of roll-outs. The node's lock is held.
 func (n *Node) mergeTrials(now time.Time, words []rollout.Word, source string) {
 	for _, w := range words {
 		n.startTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
@@ -141,7 +141,8 @@
 	}
 }
 
-// weighTrials judges by what all nodes see, and keeps the pools to it. The node's lock is held.
+// evaluateTrials evaluates the observations of all nodes, and applies the result to the pools. The node's
+// lock is held.
 func (n *Node) evaluateTrials(now time.Time) {
 	if len(n.rollouts.trials) == 0 {
 		return
@@ -163,8 +164,8 @@
 	}
 }
 
-// words is what this node tells of roll-outs. The node's lock is held, and the words are to be
-// turned into messages under it.
+// trialUpdates returns this node's updates on roll-outs. The node's lock is held; the updates have to be
+// encoded under it.
 func (n *Node) trialUpdates() []rollout.Word {
 	var list []rollout.Word
 	for _, t := range n.rollouts.trials {
@@ -173,7 +174,7 @@
 	return list
 }
 
-// applySplit keeps a service's pool to a roll-out's stage. The node's lock is held.
+// applySplit applies the stage of a roll-out to a service's pool. The node's lock is held.
 func (n *Node) applySplit(now time.Time, service string) {
 	t := n.rollouts.trials[service]
 	target := t.Order().Target
@@ -197,7 +198,7 @@
 		zap.Float64("target_rate", roundHundredths(v.Target)), zap.Float64("others_rate", roundHundredths(v.Others)), zap.String("source", source))
 }
 
-// offer tells whether a request goes to a version on trial.
+// offerTrial reports whether a request goes to a version on trial.
 func (n *Node) offerTrial(service, route string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,7 +206,7 @@
 	return t != nil && t.Offer(n.clock.Now(), route)
 }
 
-// unoffer takes back an offer that couldn't be kept.
+// returnOffer takes back an offer that wasn't used.
 func (n *Node) returnOffer(service, route string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -214,7 +215,7 @@
 	}
 }
 
-// noteAnswer takes in an answer of a service under a roll-out.
+// recordResponse records a response of a service under a roll-out.
 func (n *Node) recordResponse(service, route string, rank int, a rollout.Answer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -228,7 +229,7 @@
 	}
 }
 
-// moves tells whether streams at other versions than the target are to go on at the target.
+// movesStreams reports whether streams at versions other than the target are to continue at the target.
 func (n *Node) movesStreams(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -240,11 +241,11 @@
 	return t.Side(now) == rollout.SideTarget && now.Sub(t.Since()) >= moveDelay
 }
 
-// movesAfter is how long after a node has learned that the target gets everything it moves the
-// streams that still run elsewhere: half of the shorter ones have ended by then.
+// moveDelay is the time from learning that the target gets all requests until the streams that still run
+// elsewhere are moved: half of the shorter ones have ended by then.
 const moveDelay = 700 * time.Millisecond
 
-// inService tells whether an upstream counts as capacity of its service: one of an untried
+// countsAsCapacity reports whether an upstream counts as capacity of its service: an upstream of an untried
 // version doesn't, nor does one of a version that is about to be stopped.
 func (n *Node) countsAsCapacity(e pool.Entry) bool {
 	n.mu.Lock()
@@ -261,8 +262,8 @@
 	return e.Version != t.Order().Target
 }
 
-// rollingOut tells whether a service's upstreams are being replaced: none of the version in
-// service is let go before the end.
+// isRollingOut reports whether a service's upstreams are being replaced: until the end, no upstream of the
+// version in service is removed.
 func (n *Node) isRollingOut(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -270,7 +271,7 @@
 	return t != nil && !t.Stage().Ended()
 }
 
-// Rollouts tells operators what this node knows of roll-outs.
+// Rollouts returns this node's view of roll-outs to operators.
 func (s *edgeService) Rollouts(context.Context, *connect.Request[wire.RolloutsRequest]) (*connect.Response[wire.RolloutsResponse], error) {
 	n := s.n
 	n.mu.Lock()
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -15,51 +15,50 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file follows what the store holds. Both followers read a whole range and then
-// watch from its revision on; whatever breaks the watch, a compacted history included,
-// leads back to the range. What is held meanwhile stays in force.
+// This file follows the state in the store. Both followers read a whole range and then watch from its
+// revision on; any failure of the watch, a compacted history included, leads back to reading the range. The
+// state that was read last stays in force meanwhile.
 //
-// A watch that waits can't tell silence from calm. It is begun anew when another call to
-// the store fails, and when other nodes have heard of a change that this one hasn't. A
-// store that forgets its history may leave all watches that wait without an answer, and
-// answer all other calls; so the catalog's watch waits for less than what a change of the
-// configuration may take, and its failure makes the others begin anew, too.
+// A waiting watch can't tell a lost connection from the absence of changes. It is restarted when another
+// call to the store fails, and when peers have reported a change that this node lacks. A store that loses
+// its history may leave all waiting watches without a response while it answers all other calls; so the
+// catalog's watch waits for less than a configuration change may take, and its failure restarts the others.
 
-// followPause is the pause after a failure. The guard's breaker adds its own.
+// storeRetryPause is the pause after a failure. The guard's breaker adds its own.
 const storeRetryPause = 100 * time.Millisecond
 
 const (
-	// catalogWait and listWait are how long a watch may have nothing to tell; each end of a
-	// wait costs a call.
+	// catalogWatchWait and listWatchWait are how long a watch may wait without an event; each end of a wait
+	// costs a call.
 	catalogWatchWait = 2 * time.Second
 	listWatchWait    = 6 * time.Second
-	// gatherNode and gatherLimit set the pause after changes of the list, so much for each
-	// node that watches: a wave of reclaims or a release comes as a change for each upstream,
-	// each answer to a watch is a call that is paid for, and all that watch get it. The limit
-	// is well below the seconds for which a leaving upstream still serves.
+	// batchDelayPerNode and maxBatchDelay set the pause after changes of the list, in proportion to the number
+	// of watching nodes: a wave of reclaims or a release arrives as one change per upstream, and each watch
+	// response is a paid call that goes to every watcher. The maximum is well below the seconds for which a
+	// leaving upstream still serves.
 	batchDelayPerNode = 50 * time.Millisecond
 	maxBatchDelay     = 500 * time.Millisecond
-	// behindFor is how long this node's list may lack a change that another node has: two
-	// reports, and the delay of a watch.
+	// maxListLag is how long this node's list may lack a change that a peer has: two report rounds and the
+	// delay of a watch.
 	maxListLag = 600 * time.Millisecond
 )
 
-// errBehind ends a watch that lacks what other nodes have heard.
+// errBehind cancels a watch that lacks a change which peers have reported.
 var errBehind = errs.NewType("behind").New("other nodes have heard of later changes")
 
-// follower reads a prefix again and again, and watches it in between.
+// follower reads a prefix repeatedly and watches it in between.
 type follower struct {
 	n             *Node
 	name          string
 	prefix        string
-	watchWait     time.Duration // how long a watch may have nothing to tell
+	watchWait     time.Duration // how long a watch may wait without an event
 	applySnapshot func(r store.RangeResult)
 	applyBatch    func(b store.WatchBatch)
-	failedSince   time.Time // since when the store doesn't answer; zero: it does
+	failedSince   time.Time // since when the store is unavailable; zero: it is available
 	connected     atomic.Bool
 
 	mu          sync.Mutex
-	cancelWatch context.CancelCauseFunc // of the watch under way
+	cancelWatch context.CancelCauseFunc // cancels the watch in progress
 }
 
 func (f *follower) run(ctx context.Context) {
@@ -78,9 +77,9 @@
 	f.connected.Store(false)
 }
 
-// begunAnew tells whether a watch ended though the store answers, as far as is known.
-// What goes from the list right after an outage may have lapsed in it and is believed for
-// a while, so no outage is made up.
+// isWatchRestart reports whether a watch ended although the store answers, as far as is known. Entries that
+// disappear right after an outage are kept for a while, as they may have lapsed in it, so a restart must not
+// count as an outage.
 func isWatchRestart(err error) bool {
 	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrDoubted) || errors.Is(err, errBehind)
 }
@@ -105,9 +104,9 @@
 	storeUp.Add(f.name, 1)
 }
 
-// followed notes that a node that watches has told this one what the store holds: it wasn't
-// away, though it may turn this node away. Without that, the node took what went from the
-// list for lapsed when it watched again itself, and sent requests to upstreams that had left.
+// markStoreAvailable records that a watcher has relayed the store's state to this node: there was no outage,
+// though the store may reject this node's own calls. Without that, the node took entries that disappeared for
+// lapsed when it watched again itself, and sent requests to upstreams that had left.
 func (n *Node) markStoreAvailable() {
 	for _, f := range []*follower{n.listFollower, n.catalogFollower} {
 		if !f.failedSince.IsZero() {
@@ -143,7 +142,7 @@
 	return err
 }
 
-// gather is how long changes are gathered in a fleet of this size.
+// batchDelay returns how long changes are batched in a fleet of this size.
 func (n *Node) batchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,7 +156,7 @@
 	f.cancelWatch = stop
 }
 
-// again ends the watch under way: the range is read anew.
+// restart ends the watch in progress, so that the range is read again.
 func (f *follower) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +165,7 @@
 	}
 }
 
-// noteChange takes in the newest change of the list that another node has heard of.
+// recordListChange applies the newest change of the list that a peer has reported.
 func (n *Node) recordListChange(peer string, change int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -199,7 +198,7 @@
 	return &follower{
 		n: n, name: "catalog", prefix: n.options.OperatorPrefix, watchWait: catalogWatchWait,
 		applySnapshot: func(r store.RangeResult) {
-			// Orders first: once there is a configuration, requests are served.
+			// Orders first: requests are served as soon as there is a configuration.
 			slices.SortStableFunc(r.Pairs, func(a, b store.Pair) int { return strings.Compare(b.Key, a.Key) })
 			for _, p := range r.Pairs {
 				take(p)
@@ -258,14 +257,14 @@
 
 func (n *Node) entryID(key string) string { return key[min(len(n.options.EntryPrefix), len(key)):] }
 
-// void takes in keys whose values can't be read.
+// voidEntries marks the entries whose values can't be decoded.
 func (n *Node) voidEntries(l *pool.List, bad []store.Pair) {
 	for _, p := range bad {
 		l.Void(p.Modified, n.entryID(p.Key))
 	}
 }
 
-// items reads entries, and returns the pairs that can't be read.
+// decodeEntries decodes entries, and returns the pairs that can't be decoded.
 func (n *Node) decodeEntries(pairs []store.Pair) (sound []pool.Item, bad []store.Pair) {
 	sound = make([]pool.Item, 0, len(pairs))
 	for _, p := range pairs {
@@ -281,14 +280,14 @@
 	return sound, bad
 }
 
-// unreadable is the keys whose entries can't be read, with the reasons that were logged. It is
-// the list's reader's own.
+// unreadableEntries maps the keys of undecodable entries to the reasons that were logged. Only the list
+// follower uses it.
 type unreadableEntries map[string]string
 
-// unreadableLimit bounds the keys whose reasons are remembered, and so the lines on them.
+// maxUnreadableEntries bounds the remembered keys, and so the log lines about them.
 const maxUnreadableEntries = 256
 
-// note logs a key and its reason, once.
+// record logs a key and its reason once.
 func (u unreadableEntries) record(log *zap.Logger, p store.Pair, err error) {
 	reason := err.Error()
 	if u[p.Key] == reason || len(u) >= maxUnreadableEntries {
@@ -301,7 +300,7 @@
 
 func (u unreadableEntries) clear(key string) { delete(u, key) }
 
-// update changes the list, and tells what became of it.
+// updateList changes the list and logs the resulting events.
 func (n *Node) updateList(source string, f func(now time.Time, l *pool.List)) {
 	before := n.pools.Change()
 	changes := n.pools.Update(func(l *pool.List) { f(n.clock.Now(), l) })
@@ -320,7 +319,7 @@
 	}
 }
 
-// expireEvery is how often entries that went missing in an outage are looked at.
+// expireInterval is how often entries that went missing in an outage are checked.
 const expireInterval = 200 * time.Millisecond
 
 func (n *Node) expireMissing(ctx context.Context) {
