--- a/internal/edge/counted.go
+++ b/internal/edge/counted.go
@@ -9,45 +9,44 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// This file keeps the counts of ended windows over the loss of all processes. Until a
-// window is settled its counts live in the processes alone, and it isn't settled at once:
-// a node that is silent may still be heard. So the holder of the duties writes what all
-// processes have counted to the store as soon as a window has ended, a write a window for
-// the whole fleet, and the next holder takes it in before it settles anything.
+// This file preserves the counts of ended usage windows over the loss of all processes. Until a window is
+// settled, its counts exist only in the processes, and settling is delayed: an unresponsive node may still
+// report. So the holder of the duties writes the counts of all processes to the store as soon as a window has
+// ended, one write per window for the whole fleet, and the next holder restores them before it settles
+// anything.
 //
-// What is counted in a window that hasn't ended goes with the processes, if all are lost.
+// The counts of a window that hasn't ended are lost if all processes are.
 
 const (
-	// countedAfter is how long after a window's end its counts are written: a round of
-	// reports, and its delay.
+	// usageWriteDelay is the time from a window's end to the write of its counts: a round of reports and its
+	// delay.
 	usageWriteDelay = pair.Round + 100*time.Millisecond
-	// countedWindows is how many ended windows are written: those that may still wait for a
-	// silent node.
+	// usageWriteWindows is how many ended windows are written: those that may still wait for an unresponsive
+	// node.
 	usageWriteWindows = 3
-	// countedAgain is how often they are written again at most, where counts came late: a
-	// hall that was cut off tells of its windows when it is heard again, and all processes
-	// may be lost soon after that.
+	// usageRewriteInterval is the shortest time between writes of counts that arrive late: a hall that was
+	// partitioned reports its windows when it reconnects, and all processes may be lost soon after that.
 	usageRewriteInterval = 500 * time.Millisecond
 )
 
-// countedRecord is the counts.
+// usageCountsRecord holds the counts.
 var usageCountsRecord = record{name: "counted", key: "spurhall/counted"}
 
-// processCounts is what one process has counted.
+// processCounts is the counts of one process.
 type processCounts struct {
 	Node     string        `json:"node"`
 	Lifetime string        `json:"lifetime"`
 	Windows  usage.Windows `json:"windows"`
 }
 
-// counted is the holder's side of the counts.
+// usageCountsWriter stores the counts for the holder of the duties.
 type usageCountsWriter struct {
-	writtenWindow int64     // the newest that was written in this term
-	writtenTotal  int64     // requests in what was written
-	writtenAt     time.Time // when it was
+	writtenWindow int64     // newest window written in this term
+	writtenTotal  int64     // number of requests in what was written
+	writtenAt     time.Time // time of the last write
 }
 
-// begin takes in what the holder before has written.
+// restore applies what the previous holder has written.
 func (v *usageCountsWriter) restore(ctx context.Context, n *Node) {
 	*v = usageCountsWriter{}
 	var list []processCounts
@@ -61,9 +60,8 @@
 	}
 }
 
-// write puts the counts into the store once a window has ended, and again when more was
-// heard of it, on condition that the term lasts. What can't be written is tried again with
-// the next step.
+// write stores the counts once a window has ended, and again when more counts of it have arrived, on condition
+// that the term lasts. The next step repeats a failed write.
 func (v *usageCountsWriter) write(ctx context.Context, n *Node, token int64) {
 	now := n.clock.Wall()
 	newest := n.usage.Window(now) - 1
@@ -92,7 +90,7 @@
 	return sum
 }
 
-// processCounts is the counts of all processes in the newest ended windows.
+// processCounts returns the counts of all processes in the newest ended windows.
 func (n *Node) processCounts(newest int64) []processCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +99,7 @@
 		w := make(usage.Windows)
 		for k, c := range all {
 			if k > newest-usageWriteWindows && k <= newest {
-				w[k] = maps.Clone(c) // it is encoded without the lock
+				w[k] = maps.Clone(c) // encoded later, without the lock
 			}
 		}
 		if len(w) > 0 {
--- a/internal/edge/learned.go
+++ b/internal/edge/learned.go
@@ -9,23 +9,23 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file keeps what was learned of engines over the loss of all processes. Without it
-// the next ones know nothing of the load for two to three seconds, in which caches are cold
-// and callers come back all at once.
+// This file preserves the measured engine figures over the loss of all processes. Without them, new
+// processes can't estimate the load for two to three seconds, in which caches are cold and all callers
+// reconnect at once.
 
-// learnedRecord is what was learned, by service.
+// enginesRecord holds the engine figures, by service.
 var enginesRecord = record{name: "learned", key: "spurhall/learned"}
 
-// learnedChange is the part by which a figure has to change to be written again: less
-// changes no count of upstreams, and each write is a call.
+// minEngineChange is the fraction by which a figure has to change to be written again: smaller changes don't
+// affect the number of upstreams, and each write is a call.
 const minEngineChange = 0.25
 
-// learned is the holder's side of it.
+// enginesWriter stores the engine figures for the holder of the duties.
 type enginesWriter struct {
 	written map[string]capacity.Engine
 }
 
-// begin takes in what the holder before has written.
+// restore applies what the previous holder has written.
 func (v *enginesWriter) restore(ctx context.Context, n *Node) {
 	v.written = make(map[string]capacity.Engine)
 	if !enginesRecord.read(ctx, n, &v.written) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// write puts what is known now into the store if it differs.
+// write stores the current figures if they have changed.
 func (v *enginesWriter) write(ctx context.Context, n *Node, token int64, now map[string]capacity.Engine) {
 	for s, e := range now {
 		if engineChanged(v.written[s], e) {
--- a/internal/edge/levels.go
+++ b/internal/edge/levels.go
@@ -10,37 +10,36 @@
 	"spurhall.example/spurhall/internal/quota"
 )
 
-// This file keeps the quotas' levels over the loss of all processes: the holder of the
-// duties writes them to the store, and a process that starts reads them. quota/recall.go
-// says why.
+// This file preserves the quotas' levels over the loss of all processes: the holder of the duties writes
+// them to the store, and a starting process reads them. Package quota gives the reasons.
 
 const (
-	// levelsEvery is how often levels are looked at for writing, at most.
+	// levelsCheckInterval is the shortest time between two checks for changed levels.
 	levelsCheckInterval = 500 * time.Millisecond
-	// levelsAgain is how often they are written though they didn't change: a process that
-	// starts goes by none that are older than some seconds.
+	// levelsRewriteInterval is how often unchanged levels are written: a starting process ignores levels that
+	// are older than a few seconds.
 	levelsRewriteInterval = 3 * time.Second
-	// levelsChange is the part of a burst by which a level has to change to be written.
+	// minLevelChange is the fraction of a burst by which a level has to change to be written.
 	minLevelChange = 0.1
 )
 
-// levelsRecord is the levels.
+// levelsRecord holds the levels.
 var levelsRecord = record{name: "levels", key: "spurhall/levels"}
 
-// levelsValue is the levels at a moment.
+// levelsValue is the levels at a point in time.
 type levelsValue struct {
-	At     int64                  `json:"at"` // milliseconds of the wall clock
+	At     int64                  `json:"at"` // Unix milliseconds
 	Levels map[string]quota.Level `json:"levels"`
 }
 
-// levels is the holder's side of them.
+// levelsWriter stores the levels for the holder of the duties.
 type levelsWriter struct {
 	checkedAt     time.Time
 	writtenAt     time.Time
 	writtenLevels map[string]quota.Level
 }
 
-// write puts the levels into the store if they changed.
+// write stores the levels if they have changed.
 func (v *levelsWriter) write(ctx context.Context, n *Node, token int64) {
 	now := n.clock.Now()
 	if now.Sub(v.checkedAt) < levelsCheckInterval-dutyInterval/2 {
@@ -58,7 +57,7 @@
 	}
 }
 
-// changed tells whether a level differs enough from what was written.
+// changed reports whether a level differs enough from the stored one.
 func (v *levelsWriter) changed(n *Node, now map[string]quota.Level) bool {
 	c := n.currentCatalog()
 	if c == nil {
@@ -72,7 +71,7 @@
 	return false
 }
 
-// recallLevels goes on from what was written down before this process began.
+// restoreLevels continues from the levels that were stored before this process started.
 func (n *Node) restoreLevels(ctx context.Context) {
 	if n.settings.FirstStart {
 		return
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -13,18 +13,18 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file carries the limits that upstreams name for all nodes together (package limit). They go with every
-// report, digest and swap, like what is known of requests that end upstreams: a node that had no answer of an
-// upstream in need keeps to its limit all the same.
+// This file shares the rate limits that upstreams set for all nodes together (package limit). They are part of every
+// report, digest and swap, like the crash evidence: a node keeps to the limit of an overloaded upstream even if it has
+// received no response from that upstream itself.
 
-// hearLimits takes in what another node knows.
+// mergeLimits merges the limits that another node knows.
 func (n *Node) mergeLimits(m []*wire.Limited, source string) {
 	for _, w := range n.pools.TakeLimits(message.LimitsFromWire(n.clock.Now(), m)) {
 		n.logLimit(source, w)
 	}
 }
 
-// noteLimit tells that a limit is named, changed or lifted, and who said so.
+// logLimit logs that a limit is set, changed or lifted, and the source.
 func (n *Node) logLimit(source string, w limit.Word) {
 	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
 	if w.Lifted {
@@ -36,9 +36,9 @@
 	n.log.Info("limit_named", append(f, zap.Float64("rate", w.Rate))...)
 }
 
-// shareLimits says which nodes share limits: those that this one hears or finds in the registry, and that don't
-// leave. Where relays place the requests at engines, they alone share an engine's. A process that doesn't know yet
-// who else there is has no share: after a loss of all, each would take the whole rate. The node's lock is held.
+// updateLimitSenders sets the nodes that share limits: those that are responsive or registered, and not leaving. Where
+// relays place the requests at engines, only the relays share an engine's limit. A process that doesn't know the other
+// nodes yet has no share: after a loss of all processes, each would use the whole rate. The node's lock is held.
 func (n *Node) updateLimitSenders(now time.Time) {
 	var nodes, placers []string
 	if !n.knowsPeers(now) {
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -14,22 +14,21 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file makes nodes find each other: each holds a key in the store under a lease,
-// and reads the others' keys now and then. A node that is in touch with others knows
-// them from their reports; the registry is for those that start, and it says how many
-// share a quota when some are silent.
+// This file implements discovery: each node holds a key in the store under a lease, and reads the keys of the
+// others periodically. A node that exchanges reports knows its peers from those; the registry serves starting
+// nodes, and determines how many nodes share a quota when some are unresponsive.
 
 const (
 	memberPrefix = "spurhall/nodes/"
-	// memberTTL is how long a node that died counts as sharing quotas: longer than a
-	// restart takes, so that the others' shares don't swing.
+	// memberTTL is how long a crashed node counts as sharing quotas: longer than a restart takes, so that the
+	// other nodes' shares stay stable.
 	memberTTL = 6 * time.Second
-	// memberRenew is how often the lease is renewed. A renewal costs a tenth of a call, so
-	// that renewing more seldom in a large fleet, by leases entered anew, saves nothing.
+	// memberRenewInterval is how often the lease is renewed. A renewal costs a tenth of a call, so renewing
+	// less often in a large fleet, with leases created anew, saves nothing.
 	memberRenewInterval = 1500 * time.Millisecond
-	// memberLook is how often the registry is read, at the stale read's price.
+	// registryReadInterval is how often the registry is read, at the price of a stale read.
 	registryReadInterval = 2 * time.Second
-	// memberGone is how long a node is kept that is neither heard nor registered.
+	// memberRetention is how long a node is kept that is neither responsive nor registered.
 	memberRetention = 3 * time.Second
 )
 
@@ -46,22 +45,22 @@
 	for ctx.Err() == nil {
 		pause := memberRenewInterval
 		if id = n.renewMember(ctx, id); id == 0 {
-			pause = storeRetryPause // the others wait for it
+			pause = storeRetryPause // the other nodes depend on the key
 		}
-		_ = n.clock.Sleep(ctx, pause) // the loop's condition sees the end
+		_ = n.clock.Sleep(ctx, pause) // the loop condition checks the context
 	}
 	if id != 0 {
 		n.withdrawMember(id)
 	}
 }
 
-// renew keeps the lease of this node's key, or enters the key anew. It returns the
-// lease, or 0 if there is none.
+// renewMember renews the lease of this node's key, or writes the key under a new lease. It returns the lease, or
+// 0 if there is none.
 func (n *Node) renewMember(ctx context.Context, id int64) int64 {
 	if id != 0 {
 		_, err := n.kv.KeepAlive(ctx, id)
 		if !errors.Is(err, store.ErrLeaseGone) {
-			return id // renewed, or the next round tries again
+			return id // renewed, or to be retried in the next round
 		}
 	}
 	id, err := n.putMember(ctx)
@@ -82,18 +81,18 @@
 	if err != nil {
 		return 0, err
 	}
-	// The key may still be held by the lease of the process before, if that was killed.
+	// If the previous process was killed, the key may still be bound to its lease.
 	k := memberPrefix + n.settings.Node
 	n.logPrevious(ctx, k)
 	_, err = n.kv.Txn(ctx, store.Txn{Then: []store.Op{{Kind: store.OpPut, Key: k, Value: b, Lease: id}}})
 	return id, err
 }
 
-// logPrevious tells of the process before: a planned stop takes the key away.
+// logPrevious logs that the previous process was killed: a planned stop deletes the key.
 func (n *Node) logPrevious(ctx context.Context, key string) {
 	r, err := n.kv.Range(ctx, key, "")
 	if err != nil || len(r.Pairs) == 0 {
-		return // nothing is known of it
+		return // no trace of a previous process
 	}
 	var v memberValue
 	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.options.Incarnation {
@@ -112,8 +111,8 @@
 	}
 }
 
-// look reads the registry until the context ends. The first look is an exact read: a
-// node that starts needs the others at once.
+// pollRegistry reads the registry until the context ends. The first read is exact, not stale: a starting node
+// needs the other nodes at once.
 func (n *Node) pollRegistry(ctx context.Context) {
 	exact := func(ctx context.Context, p string) (store.RangeResult, error) {
 		return n.kv.Range(ctx, p, store.PrefixEnd(p))
@@ -164,15 +163,15 @@
 	}
 	known := n.peers.peers[name]
 	if known != nil && now.Sub(known.lastSeen) <= pair.Silent(n.peers.size()) {
-		known.lastListed = now // what it says itself is newer than a stale read
+		known.lastListed = now // its own reports are newer than a stale read
 		return
 	}
 	found := n.peers.getOrAdd(name, v.Address)
 	found.lastListed, found.hall, found.cores = now, v.Hall, v.Cores
 }
 
-// greet calls the seeds until another node is known: a node that starts while the store
-// is away has no other way to find one.
+// contactSeeds calls the seeds until another node is known: a node that starts while the store is
+// unavailable can't discover one otherwise.
 func (n *Node) contactSeeds(ctx context.Context) {
 	for len(n.settings.Seeds) > 0 && ctx.Err() == nil {
 		n.mu.Lock()
@@ -186,7 +185,7 @@
 				n.contactSeed(ctx, a)
 			}
 		}
-		_ = n.clock.Sleep(ctx, pair.Round) // the loop's condition sees the end
+		_ = n.clock.Sleep(ctx, pair.Round) // the loop condition checks the context
 	}
 }
 
--- a/internal/edge/notes.go
+++ b/internal/edge/notes.go
@@ -6,19 +6,18 @@
 	"spurhall.example/spurhall/internal/pair"
 )
 
-// This file keeps the log lines about other nodes to the fleet's size. A line for each pair
-// grows with its square: when all nodes of 95 return at once these lines were seven in ten
-// of the log. So in a fleet in which pairs don't swap reports in each round, the nodes that
-// watch the store for their hall tell of each other node, and all others how many there
-// were in a round.
+// This file limits the log lines about other nodes. With a line for each pair, they grow with the square of
+// the fleet's size: when all 95 nodes of a fleet returned at once, they were seven tenths of the log. So in a
+// fleet in which pairs don't swap reports in each round, the nodes that watch the store for their hall log
+// each event, and all others log a round's totals.
 
-// notes counts what was not told by itself since the last round.
+// peerLog counts the events since the last round that weren't logged individually.
 type peerLog struct {
-	verbose bool // this node tells of each other node
+	verbose bool // this node logs each event
 	counts  map[string]int
 }
 
-// notePeer logs an event of another node, or counts it. The node's lock is held.
+// logPeer logs an event of another node, or counts it. The node's lock is held.
 func (n *Node) logPeer(event string, fields ...zap.Field) {
 	if n.peerLog.verbose || pair.Every(n.peers.size()) == pair.Round {
 		n.log.Info(event, fields...)
@@ -30,8 +29,8 @@
 	n.peerLog.counts[event]++
 }
 
-// tellPeers logs what was counted in a round, and settles whether this node tells of each
-// other node in the next. The node's lock is held.
+// flushPeerLog logs the totals of a round, and decides whether this node logs each event of the next one. The
+// node's lock is held.
 func (n *Node) flushPeerLog() {
 	n.peerLog.verbose = n.isWatcherLocked(n.clock.Now())
 	if len(n.peerLog.counts) == 0 {
--- a/internal/edge/ordered.go
+++ b/internal/edge/ordered.go
@@ -9,21 +9,20 @@
 	"spurhall.example/spurhall/internal/logging"
 )
 
-// This file remembers what was ordered on demand, for the next holder of the duties. An
-// order states a whole count, and what it ordered takes seconds to boot and to be listed:
-// a successor that has measured too little yet would order fewer and thereby call off what
-// is on its way, in the very seconds in which a lost holder, a wave of reclaims and cold
-// caches come together. So the counts stand in the store, and a new holder orders no fewer
-// for a while.
+// This file stores the ordered on-demand counts for the next holder of the duties. An order states a total
+// count, and the ordered upstreams take seconds to boot and to be listed: a successor without enough
+// measurements would order fewer and thereby cancel upstreams that are starting, just when a lost holder, a
+// wave of reclaims and cold caches coincide. So the counts are kept in the store, and a new holder orders no
+// fewer for a while.
 //
-// Weighed: telling the counts in reports to the other nodes. A fault that kills the holder
+// Alternatives considered: sending the counts in reports to the other nodes. A fault that kills the holder
 // often kills all nodes.
 
-// orderedBeyond is how long beyond a boot a new process orders no fewer: a heartbeat or two
-// until what was ordered is listed, in which the load is measured.
+// orderFloorMargin is how long beyond a boot a new process orders no fewer: the heartbeat or two until the
+// ordered upstreams are listed, during which the load is measured.
 const orderFloorMargin = 3 * time.Second
 
-// orderedKeeps is how long a new process orders no fewer.
+// orderFloorPeriod is how long a new process orders no fewer.
 func (n *Node) orderFloorPeriod() time.Duration {
 	boot := time.Duration(0)
 	if c := n.currentCatalog(); c != nil {
@@ -36,13 +35,13 @@
 	return boot + orderFloorMargin
 }
 
-// orderedRecord is what was ordered.
+// orderedRecord holds the ordered counts.
 var orderedRecord = record{name: "ordered", key: "spurhall/ordered"}
 
-// orderedValue is the on-demand counts ordered, by service and hall.
+// orderedCounts is the ordered on-demand counts, by service and hall.
 type orderedCounts map[string]map[string]int
 
-// flat is the counts by "service/hall", for the log.
+// flat returns the counts by "service/hall", for the log.
 func (v orderedCounts) flat() map[string]int64 {
 	r := make(map[string]int64)
 	for s, by := range v {
@@ -53,16 +52,16 @@
 	return r
 }
 
-// ordered is the holder's side of what was ordered.
+// orderFloor tracks the ordered counts for the holder of the duties, and the lower bound from the previous holder.
 type orderFloor struct {
-	counts    orderedCounts // as far as this term has ordered or found
+	counts    orderedCounts // ordered or restored in this term
 	isWritten bool
-	previous  orderedCounts // by the holder before
-	until     time.Time     // until when what was found counts
+	previous  orderedCounts // ordered by the previous holder
+	until     time.Time     // until when the previous counts apply
 	era       int64         // of the term
 }
 
-// begin reads what the holder before this term has ordered.
+// restore reads what the previous holder has ordered.
 func (v *orderFloor) restore(ctx context.Context, n *Node, token int64) {
 	own, before := v.counts, v.era
 	*v = orderFloor{counts: orderedCounts{}, isWritten: true, previous: orderedCounts{}, until: n.start.Add(n.orderFloorPeriod()), era: era.Of(token)}
@@ -73,13 +72,13 @@
 		maps.DeleteFunc(by, func(_ string, count int) bool { return count < 0 })
 		v.counts[s] = maps.Clone(by)
 	}
-	if v.era > before && len(own) > 0 { // the store may have lost what this holder ordered last
+	if v.era > before && len(own) > 0 { // the store may have lost this holder's last orders
 		v.counts, v.isWritten = own, false
 	}
 	n.log.Info("ordered_found", logging.Counts("counts", v.previous.flat()))
 }
 
-// least is the fewest that may be ordered now.
+// minCount returns the lowest count that may be ordered now.
 func (v *orderFloor) minCount(now time.Time, s orderKey) int {
 	if s.reclaimable || !now.Before(v.until) {
 		return 0
@@ -87,7 +86,7 @@
 	return v.previous[s.service][s.hall]
 }
 
-// note takes in an order that was taken.
+// record records an order that was placed.
 func (v *orderFloor) record(s orderKey, count int) {
 	if s.reclaimable || v.counts[s.service][s.hall] == count {
 		return
@@ -99,8 +98,7 @@
 	v.isWritten = false
 }
 
-// write puts what was ordered into the store, on condition that the term lasts. What can't
-// be written is tried again with the next step.
+// write stores the ordered counts on condition that the term lasts. The next step repeats a failed write.
 func (v *orderFloor) write(ctx context.Context, n *Node, token int64) {
 	if v.isWritten {
 		return
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -16,30 +16,28 @@
 	"spurhall.example/spurhall/internal/pair"
 )
 
-// This file orders upstreams, at the node that holds the duties' lease. The decision is
-// autoscale.Mix; here its inputs are gathered and its counts become calls.
+// This file orders upstreams at the node that holds the duties' lease. autoscale.Mix decides; this file
+// gathers its inputs and turns its counts into calls.
 //
-// An order states a whole count, so a late or repeated one does no harm beyond its
-// time. A count is ordered when it changes, and again while the hall doesn't have it.
+// An order states a total count, so a late or repeated order does no lasting harm. A count is ordered when
+// it changes, and again while the hall doesn't have it.
 
 const (
-	// orderAgain is how often a count that the hall doesn't have is ordered again.
+	// reorderInterval is how often a count that the hall doesn't have is ordered again.
 	reorderInterval = 2 * time.Second
-	// orderSettle is how long a process watches before it orders: upstreams write their
-	// entries within a heartbeat or two of their start, and a list that is still filling
-	// looks like a pool that is too small.
+	// settlePeriod is how long a process observes before it orders: upstreams write their entries within a
+	// heartbeat or two of their start, and an incomplete list looks like a pool that is too small.
 	settlePeriod = 2 * time.Second
-	// orderRestart is the same for a process that starts amid the work, and for orders of
-	// more only: what it lacks in its list it orders in vain at worst, and what has to be
-	// replaced in a wave can't wait. It is some rounds of reports.
+	// restartSettlePeriod applies instead to a process that starts in a running system, and only to orders of
+	// more: an incomplete list causes superfluous orders at worst, while replacements in a wave of reclaims
+	// can't wait. It is a few rounds of reports.
 	restartSettlePeriod = 700 * time.Millisecond
-	// orderQuiet is how long a list hasn't grown before fewer are ordered, half a heartbeat:
-	// a large pool lists itself over many seconds, some each moment, and until it has nobody
-	// knows what is too many.
+	// listQuietPeriod is how long the list must not have grown before fewer are ordered, half a heartbeat: the
+	// entries of a large pool arrive spread over many seconds, and until then the surplus is unknown.
 	listQuietPeriod = 600 * time.Millisecond
 )
 
-// subject is what an order is about.
+// orderKey identifies what an order is for.
 type orderKey struct {
 	service     string
 	hall        string
@@ -59,7 +57,7 @@
 	token      int64 // of the term that the orders belong to
 	floor      orderFloor
 	engines    enginesWriter
-	maxListed  int       // most upstreams seen in the list
+	maxListed  int       // highest number of listed upstreams
 	listGrewAt time.Time // when the list last grew
 }
 
@@ -67,7 +65,7 @@
 	return &orderer{n: n, mixes: make(map[string]*autoscale.Mix), rates: make(map[string]*autoscale.Rate), orders: make(map[orderKey]placedOrder)}
 }
 
-// step measures, and orders what is missing.
+// step measures the load, and orders missing upstreams.
 func (o *orderer) step(ctx context.Context) {
 	c := o.n.currentCatalog()
 	if c == nil {
@@ -106,7 +104,7 @@
 	}
 }
 
-// patience is how long this process watches before it orders anything.
+// observationPeriod returns how long this process observes before it orders anything.
 func (o *orderer) observationPeriod() time.Duration {
 	if o.n.settings.FirstStart {
 		return settlePeriod
@@ -114,7 +112,7 @@
 	return restartSettlePeriod
 }
 
-// settled tells whether the list is whole, so that fewer may be ordered.
+// isListComplete reports whether the list is complete, so that fewer may be ordered.
 func (o *orderer) isListComplete(now time.Time) bool {
 	return now.Sub(o.n.start) >= settlePeriod && now.Sub(o.listGrewAt) >= listQuietPeriod
 }
@@ -128,7 +126,7 @@
 	return r
 }
 
-// workSums is what each node has sent to a service's engines since it began.
+// workSums returns what each node has sent to a service's engines since its start.
 func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Sum {
 	sums := map[string]autoscale.Sum{n.settings.Node: {Value: n.pools.Work()[service], At: now}}
 	n.mu.Lock()
@@ -141,7 +139,7 @@
 	return sums
 }
 
-// silence is the time after which a node doesn't count as heard.
+// silenceLimit returns the time without reports after which a node counts as unresponsive.
 func (n *Node) silenceLimit() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,7 +171,7 @@
 	}
 }
 
-// halls is what each hall that the service has a price for, or upstreams in, has.
+// hallStates returns the state of each hall that the service has a price for, or upstreams in.
 func (o *orderer) hallStates(s *catalog.ServiceSpec) []autoscale.HallState {
 	by := make(map[string]*autoscale.HallState)
 	get := func(hall string) *autoscale.HallState {
@@ -194,7 +192,7 @@
 			h := get(e.Hall)
 			switch {
 			case lost[e.ID] && e.Reclaimable:
-				h.Leaving++ // taken without a word while the store was away, say
+				h.Leaving++ // for example, reclaimed without notice while the store was unavailable
 			case lost[e.ID]:
 			case e.Leaving && e.Reclaimable:
 				h.Leaving++
@@ -218,7 +216,7 @@
 	return list
 }
 
-// heardHalls returns the halls of whose nodes something is heard.
+// reachableHalls returns the halls with a node that has reported recently, directly or through a relay.
 func (n *Node) reachableHalls() map[string]bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -232,7 +230,7 @@
 	return halls
 }
 
-// want orders a count if it changed, or if the hall doesn't have it for a while.
+// order orders a count if it changed, or if the hall hasn't had it for a while.
 func (o *orderer) order(ctx context.Context, token int64, m *autoscale.Mix, s orderKey, count int, have map[orderKey]int, load capacity.Work) {
 	now := o.n.clock.Now()
 	count = max(count, o.floor.minCount(now, s))
@@ -254,7 +252,7 @@
 	err := o.n.options.Cloud.Order(ctx, token, duty.Order{Service: s.service, Hall: s.hall, Count: count, Reclaimable: s.reclaimable})
 	o.orders[s] = placedOrder{count, now}
 	outcome := "taken"
-	o.floor.record(s, count) // also without an answer: it may be carried out
+	o.floor.record(s, count) // also without a response: the order may have been carried out
 	switch {
 	case err == nil && s.reclaimable:
 		m.Granted(s.hall)
@@ -273,10 +271,10 @@
 		zap.Stringer("binds", m.Binds()), zap.Float64("reading", roundHundredths(e.Reading)), zap.Float64("first_ms", roundHundredths(e.First)), zap.Float64("token_ms", roundHundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
 }
 
-// engineFigures is what is known of engines and what comes, by service.
+// engineFigures holds the engine figures and the load, by service.
 var engineFigures = expvar.NewMap("engine")
 
-// publish puts what an order rests on on the metrics address.
+// publishFigures exports the inputs of an order as metrics.
 func publishFigures(service string, e capacity.Engine, load capacity.Work) {
 	v, ok := engineFigures.Get(service).(*expvar.Map)
 	if !ok {
@@ -296,5 +294,5 @@
 	}
 }
 
-// hundredths rounds for a log line.
+// roundHundredths rounds a figure for a log line.
 func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -40,7 +40,7 @@
 	}
 	for _, e := range n.assignedEngines() {
 		if !n.pools.Ask(e) {
-			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "it rests, or has had what it takes"))
+			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "in cooldown, or its rate limit is used up"))
 			continue
 		}
 		sent := n.clock.Now()
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -252,7 +252,7 @@
 }
 
 // errNoGroup reports that a relay's response is empty.
-var errNoGroup = errs.NewType("no_group").New("the relay's answer is empty")
+var errNoGroup = errs.NewType("no_group").New("the relay's response is empty")
 
 // buildGroup returns this relay's state for another relay that knows it up to a version. The node's lock is
 // held.
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -240,12 +240,12 @@
 	return f, failed, true
 }
 
-// errNotWritten reports that another process has written, or that the term is over.
 // errUnknownStage reports a stored stage that this version doesn't know: the holder leaves the roll-out to
 // a version that does.
-var errUnknownStage = errs.NewType("stage").New("the stage in the store isn't known here")
+var errUnknownStage = errs.NewType("stage").New("the stored stage is unknown to this version")
 
-var errNotWritten = errs.NewType("unsettled").New("the term is over, or another has written")
+// errNotWritten reports that another process has written, or that the term is over.
+var errNotWritten = errs.NewType("unsettled").New("the term is over, or another process has written the status")
 
 func (r *runner) write(ctx context.Context, v *rolloutState, s rollout.State, seen, failed int64) error {
 	key, status, err := r.n.options.EncodeStatus(s.Order, s.Stage)
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -157,7 +157,7 @@
 	for service, t := range n.rollouts.trials {
 		for _, w := range others {
 			if w.Service == service && w.Order == t.Order().Revision && t.Others(w.Tally) {
-				n.logStop(t, "the others' answers")
+				n.logStop(t, "responses at other nodes")
 			}
 		}
 		n.applySplit(now, service)
@@ -224,7 +224,7 @@
 		return
 	}
 	if t.Note(route, rank, a) {
-		n.logStop(t, "own answers")
+		n.logStop(t, "responses at this node")
 		n.applySplit(n.clock.Now(), service)
 	}
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -22,19 +22,18 @@
 
 // This file opens the listeners and stops the node.
 //
-// A planned stop takes the node out of the balancer first: readiness goes down, and each
-// answer tells its caller to use another connection next. The listeners stay open
-// meanwhile, since the balancer needs some failed questions to notice and callers hold
-// connections; a request that still comes is served. Then idle connections are closed
-// with the listener, and what still comes on a busy one is told to go elsewhere. The
-// process ends when nothing is in progress, or shortly before it would be killed.
+// A planned stop first takes the node out of the balancer: readiness fails, and each response tells the caller
+// to use another connection next. The listeners stay open meanwhile, since the balancer needs several failed
+// checks to notice and callers hold connections; requests that still arrive are served. Then idle connections
+// are closed with the listener, and requests that still arrive on a busy one are redirected to other nodes.
+// The process ends when no request is in progress, or shortly before it would be killed.
 
 const (
 	maxHeaderBytes    = 64 << 10
-	readHeaderTimeout = 15 * time.Second  // callers keep to less
-	idleTimeout       = 180 * time.Second // callers keep to less
-	// stopTakes is how long after the stop signal requests are still begun: the balancer
-	// needs two failed questions, a second apart, to send callers elsewhere.
+	readHeaderTimeout = 15 * time.Second  // callers use shorter time-outs
+	idleTimeout       = 180 * time.Second // callers use shorter time-outs
+	// stopAcceptPeriod is how long after the stop signal new requests are served: the balancer needs two failed
+	// checks, a second apart, to send callers elsewhere.
 	stopAcceptPeriod = 2500 * time.Millisecond
 	minStopTime      = 3 * time.Second
 	stopMargin       = 600 * time.Millisecond // before the kill
@@ -43,13 +42,13 @@
 	peerDeadline     = 5 * time.Second
 )
 
-// Listeners is the addresses that a node serves on, already open.
+// Listeners holds the open listeners of a node.
 type Listeners struct {
 	Front, Readiness, Peers, Metrics net.Listener // Metrics may be nil
 }
 
-// Listen opens the listeners. Other nodes are listened for at the address that they are told, unless another one is
-// given. metricsPort 0 means no metrics.
+// Listen opens the listeners. The peers' listener uses the address that is advertised to other nodes, unless peers
+// gives another one. metricsPort 0 disables metrics.
 func Listen(s *Settings, peers string, metricsPort int) (*Listeners, error) {
 	peers = cmp.Or(peers, s.Peers)
 	var l Listeners
@@ -72,7 +71,7 @@
 	return &l, nil
 }
 
-// traffic knows how many requests are in progress and when the last one came.
+// requestTracker counts the requests in progress and records when the last one arrived.
 type requestTracker struct {
 	mu          sync.Mutex
 	inFlight    int
@@ -98,7 +97,7 @@
 	return t.inFlight == 0 && now.Sub(t.lastStarted) > stopQuietPeriod
 }
 
-// Run serves until the context ends, then stops without cutting a request off.
+// Run serves until the context ends, then stops without interrupting requests.
 func (n *Node) Run(ctx context.Context, l *Listeners) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -138,7 +137,7 @@
 	}
 }
 
-// logWriter passes net/http's own lines on to the log.
+// logWriter forwards net/http's log lines to the log.
 type logWriter struct{ log *zap.Logger }
 
 func (w logWriter) Write(b []byte) (int, error) {
@@ -156,13 +155,13 @@
 
 func (n *Node) isLeaving() bool { return n.stopPhase() != forward.PhaseServing }
 
-// ready tells whether this node should get callers: it knows the configuration and the
-// upstreams, and isn't stopping.
+// isReady reports whether this node should receive callers: it has the configuration and the upstream list,
+// isn't stopping, and accepts connections.
 func (n *Node) isReady() bool {
 	return n.currentCatalog() != nil && n.listed.Load() && !n.isLeaving() && !n.cannotAccept()
 }
 
-// watchFront notes when callers can't be taken.
+// monitorFront wraps the callers' listener to detect failing accepts.
 func (n *Node) monitorFront(l net.Listener) net.Listener {
 	w := accept.New(l, n.clock, n.log, n.settings.MaxDescriptors)
 	n.frontListener.Store(w)
@@ -194,14 +193,14 @@
 	return h
 }
 
-// stop waits until the callers are gone, within the time there is.
+// stop waits until the callers have left, within the time limit.
 func (n *Node) stop(t *requestTracker, front *http.Server) {
 	n.phase.Store(int32(forward.PhaseLeaving))
 	begun := n.clock.Now()
 	n.log.Info("stopping")
 	defer n.clock.AfterFunc(stopAcceptPeriod, func() {
 		n.phase.Store(int32(forward.PhaseClosed))
-		// Callers whose connections are idle open others without losing a try.
+		// Callers with idle connections open new ones elsewhere without a failed attempt.
 		if err := front.Shutdown(context.Background()); err != nil {
 			n.log.Info("shutdown_failed", zap.String("cause", err.Error()))
 		}
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -13,54 +13,54 @@
 
 var errs = errorx.NewNamespace("edge")
 
-// ErrSettings says that a node can't run by its settings.
+// ErrSettings reports settings that a node can't run with.
 var ErrSettings = errs.NewType("settings").New("the settings are not valid")
 
-// StoreSettings says where the metadata store is and what it takes.
+// StoreSettings locates the metadata store and states its limits.
 type StoreSettings struct {
 	Address  string
-	Writes   float64 // calls a second, from all nodes together
+	Writes   float64 // calls per second, from all nodes together
 	Reads    float64
-	MinLease time.Duration // the shortest lease that it grants
+	MinLease time.Duration // shortest lease that the store grants
 }
 
-// CloudSettings says where the cloud API is and which duties it asks for.
+// CloudSettings locates the cloud API and states the duties that it requires.
 type CloudSettings struct {
 	Address string
 	Usage   bool
 	Scale   bool
-	// Rollouts says that roll-outs may be ordered, which the holder of the duties carries out.
+	// Rollouts states that roll-outs may be ordered, which the holder of the duties carries out.
 	Rollouts bool
 }
 
-// Settings is what one node runs by.
+// Settings configures one node.
 type Settings struct {
 	Node       string
 	Hall       string
 	Halls      map[string]string // region by hall
-	Front      string            // callers' listener
+	Front      string            // address of the callers' listener
 	Readiness  string
-	Peers      string   // other nodes' listener
-	Seeds      []string // some nodes' peer listeners
+	Peers      string   // address of the peers' listener
+	Seeds      []string // peer addresses of some nodes
 	FirstStart bool     // the whole system starts for the first time
 
 	MemoryBytes    int64
-	MaxDescriptors int     // that the process may have open; 0: not known
-	Cores          float64 // of the VM that this node may use; 0: not known
+	MaxDescriptors int     // that the process may open; 0: unknown
+	Cores          float64 // of the VM that this node may use; 0: unknown
 	Store          StoreSettings
 	Cloud          CloudSettings
 
 	StopTimeout   time.Duration // from the stop signal to the kill
 	LeaseTTL      time.Duration // of a duty
-	RetryRatio    float64       // repeats a request, over all nodes
+	RetryRatio    float64       // retries per request, over all nodes
 	RetryWindow   time.Duration
-	RetryExtra    float64 // repeats in the window beyond the ratio, over all nodes
-	Exposure      float64 // share of a service's requests that an untried version may get; 0: unsaid
+	RetryExtra    float64 // retries in the window beyond the ratio, over all nodes
+	Exposure      float64 // share of a service's requests that an untried version may get; 0: unspecified
 	UsageWindow   time.Duration
-	UsageDeadline time.Duration // a window's report is due so long after its end
+	UsageDeadline time.Duration // time after a window's end within which its report is due
 }
 
-// Check reports everything that is wrong.
+// Check returns all faults of the settings.
 func (s *Settings) Check() error {
 	var list []error
 	bad := func(format string, a ...any) { list = append(list, fmt.Errorf(format, a...)) }
--- a/internal/edge/states.go
+++ b/internal/edge/states.go
@@ -9,7 +9,7 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// Upstreams returns what this node believes of upstreams, and does about it.
+// Upstreams returns this node's state of the upstreams to operators.
 func (s *edgeService) Upstreams(_ context.Context, r *connect.Request[wire.UpstreamsRequest]) (*connect.Response[wire.UpstreamsResponse], error) {
 	a := &wire.UpstreamsResponse{Node: s.n.settings.Node}
 	for _, v := range s.n.pools.States(r.Msg.Service) {
--- a/internal/edge/suspicions.go
+++ b/internal/edge/suspicions.go
@@ -12,17 +12,17 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file carries what nodes know of requests that end upstreams (package quarantine). It
-// goes with every report, digest and swap: what is news to a node it tells on, so that a word
-// is everywhere after a pair's round, or three steps over relays.
+// This file shares the crash evidence about requests (package quarantine) between nodes. It is part of every
+// report, digest and swap, and each node propagates what is new to it, so that an update reaches all nodes
+// within a pair's round, or three steps over relays.
 //
-// What holds requests back also stands in the store, where the holder of the duties writes it,
-// so that a loss of all processes doesn't cost another three upstreams for each request.
+// The evidence that quarantines requests is also kept in the store, where the holder of the duties writes it,
+// so that after a loss of all processes each request doesn't crash another three upstreams.
 
-// suspicionsAgain is how often a process that starts asks a store that doesn't answer.
+// quarantineRetryPause is how often a starting process retries the read while the store is unavailable.
 const quarantineRetryPause = time.Second
 
-// hearSuspicions takes in what another node knows.
+// mergeSuspicions merges the evidence of another node.
 func (n *Node) mergeSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
@@ -30,21 +30,21 @@
 	}
 }
 
-// suspicions is what this node tells the others now; nil: nothing.
+// suspicions returns this node's evidence for the other nodes, or nil if there is none.
 func (n *Node) suspicions() *wire.Suspicions {
 	now := n.clock.Now()
 	return n.quarantine.Words(now).ToWire(now)
 }
 
 const (
-	// waysTried is how many nodes of a hall are tried for the way there: one may have ended.
+	// maxHallProbes is how many nodes of a hall are probed for reachability: one may have crashed.
 	maxHallProbes = 2
-	// wayTimeout bounds each try, as it does for a connection to an upstream.
+	// hallProbeTimeout bounds each probe, like a connection attempt to an upstream.
 	hallProbeTimeout = 300 * time.Millisecond
 )
 
-// reaches tells whether the way to a hall is open: one of its nodes listens. Where none is
-// known, nothing speaks for a cut.
+// reachesHall reports whether a hall is reachable: one of its nodes accepts a connection. If no node of it is
+// known, there is no sign of a partition.
 func (n *Node) reachesHall(ctx context.Context, hall string) bool {
 	n.mu.Lock()
 	var list []*peer
@@ -69,28 +69,28 @@
 	return len(addresses) == 0
 }
 
-// heldRecord is what holds requests back.
+// quarantineRecord holds the crashes that quarantine requests.
 var quarantineRecord = record{name: "held", key: "spurhall/held"}
 
-// heldEnd is an end of an upstream, by the wall clock: it is read by processes of other VMs.
+// storedCrash is a crash of an upstream with its wall-clock time, as processes on other VMs read it.
 type storedCrash struct {
 	Fingerprint quarantine.Print `json:"print"`
 	Upstream    string           `json:"upstream"`
 	At          int64            `json:"at"` // Unix milliseconds
 }
 
-// heldRequests is the side of the duties' holder.
+// quarantineWriter stores the evidence for the holder of the duties.
 type quarantineWriter struct {
 	token   int64 // of the term in which it was written
 	written int64
 }
 
-// write puts what holds requests back into the store when it has changed. What can't be
-// written is tried again with the next step.
+// write stores the evidence that quarantines requests when it has changed. The next step repeats a failed
+// write.
 func (v *quarantineWriter) write(ctx context.Context, n *Node, token int64) {
 	ends, version := n.quarantine.Held()
 	if version == 0 || version == v.written && token == v.token {
-		return // nothing was ever held, or it stands there; what a term before wrote may be lost
+		return // never any evidence, or already stored; a write of an earlier term may be lost
 	}
 	list := make([]storedCrash, len(ends))
 	for i, e := range ends {
@@ -101,7 +101,7 @@
 	}
 }
 
-// recallHeld reads what held requests back before this process began.
+// restoreQuarantine restores the evidence that was stored before this process started.
 func (n *Node) restoreQuarantine(ctx context.Context) {
 	if n.settings.FirstStart {
 		return
@@ -123,7 +123,7 @@
 	now := n.clock.Now()
 	var w quarantine.Words
 	for _, v := range list {
-		at := now.Add(-max(0, now.Sub(n.clock.At(time.UnixMilli(v.At))))) // no end is to come
+		at := now.Add(-max(0, now.Sub(n.clock.At(time.UnixMilli(v.At))))) // no crash lies in the future
 		w.Ends = append(w.Ends, quarantine.End{Print: v.Fingerprint, Upstream: v.Upstream, At: at})
 	}
 	n.log.Info("held_found", zap.Int("ends", len(w.Ends)))
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -44,7 +44,7 @@
 )
 
 // errBehind cancels a watch that lacks a change which peers have reported.
-var errBehind = errs.NewType("behind").New("other nodes have heard of later changes")
+var errBehind = errs.NewType("behind").New("peers have reported later changes")
 
 // follower reads a prefix repeatedly and watches it in between.
 type follower struct {
