--- a/internal/edge/counted.go
+++ b/internal/edge/counted.go
@@ -34,9 +34,9 @@
 
 // processCounts is the counts of one process.
 type processCounts struct {
-	Node     string        `json:"node"`
-	Lifetime string        `json:"lifetime"`
-	Windows  usage.Windows `json:"windows"`
+	Node        string        `json:"node"`
+	Incarnation string        `json:"lifetime"`
+	Windows     usage.Windows `json:"windows"`
 }
 
 // usageCountsWriter stores the counts for the holder of the duties.
@@ -56,7 +56,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range list {
-		n.usage.TakeIn(p.Node, p.Lifetime, p.Windows)
+		n.usage.TakeIn(p.Node, p.Incarnation, p.Windows)
 	}
 }
 
@@ -95,7 +95,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	list := []processCounts{}
-	add := func(node, lifetime string, all usage.Windows) {
+	add := func(node, incarnation string, all usage.Windows) {
 		w := make(usage.Windows)
 		for k, c := range all {
 			if k > newest-usageWriteWindows && k <= newest {
@@ -103,7 +103,7 @@
 			}
 		}
 		if len(w) > 0 {
-			list = append(list, processCounts{node, lifetime, w})
+			list = append(list, processCounts{node, incarnation, w})
 		}
 	}
 	add(n.settings.Node, n.options.Incarnation, n.usage.Own())
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -78,11 +78,11 @@
 	defer n.mu.Unlock()
 	end := n.usage.End(window)
 	now, since := n.clock.Now(), n.clock.Wall().Sub(end)
-	whole := true
+	complete := true
 	for _, p := range n.peers.peers {
 		if now.Sub(p.lastSeen) > since {
-			whole = false
+			complete = false
 		}
 	}
-	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Whole: whole}
+	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Whole: complete}
 }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -88,24 +88,24 @@
 
 // watchersLocked is watchers with the node's lock held.
 func (n *Node) watchersLocked(now time.Time) []string {
-	silent := pair.Silent(n.peers.size())
-	heard, served := map[string]float64{n.settings.Node: n.settings.Cores}, map[string]float64{}
+	limit := pair.Silent(n.peers.size())
+	responsive, connected := map[string]float64{n.settings.Node: n.settings.Cores}, map[string]float64{}
 	if n.guard.Up() {
-		served[n.settings.Node] = n.settings.Cores
+		connected[n.settings.Node] = n.settings.Cores
 	}
 	for _, p := range n.peers.peers {
-		if p.hall != n.settings.Hall || p.leaving || now.Sub(p.lastSeen) > silent {
+		if p.hall != n.settings.Hall || p.leaving || now.Sub(p.lastSeen) > limit {
 			continue
 		}
-		heard[p.name] = p.cores
+		responsive[p.name] = p.cores
 		if p.storeUp {
-			served[p.name] = p.cores
+			connected[p.name] = p.cores
 		}
 	}
-	if len(served) == 0 {
-		served = heard
+	if len(connected) == 0 {
+		connected = responsive
 	}
-	names := relay.Order(served)
+	names := relay.Order(connected)
 	return names[:min(len(names), watchersPerHall)]
 }
 
@@ -124,9 +124,9 @@
 func (n *Node) mustWatch() bool {
 	now := n.clock.Now()
 	n.mu.Lock()
-	alone := now.Before(n.selfWatchUntil)
+	selfWatch := now.Before(n.selfWatchUntil)
 	n.mu.Unlock()
-	return alone || !n.listed.Load() || n.currentCatalog() == nil || n.isWatcher()
+	return selfWatch || !n.listed.Load() || n.currentCatalog() == nil || n.isWatcher()
 }
 
 // followStore watches the store or polls the watchers until the context ends.
@@ -188,8 +188,8 @@
 
 // listSource identifies the process and sequence that this node's list came from.
 type listSource struct {
-	lifetime string
-	sequence int64
+	incarnation string
+	sequence    int64
 }
 
 // pollWatcher requests changes from one watcher and applies them.
@@ -206,7 +206,7 @@
 	}
 	c, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	a, err := p.client.Follow(c, connect.NewRequest(&wire.FollowRequest{CatalogVersion: version, Lifetime: from.lifetime, ListSequence: from.sequence}))
+	a, err := p.client.Follow(c, connect.NewRequest(&wire.FollowRequest{CatalogVersion: version, Lifetime: from.incarnation, ListSequence: from.sequence}))
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 // Follow responds as soon as there is a change that the caller lacks.
 func (s *edgeService) Follow(ctx context.Context, r *connect.Request[wire.FollowRequest]) (*connect.Response[wire.FollowResponse], error) {
 	n := s.n
-	late, stop := n.clock.After(followWaitLimit)
+	timeout, stop := n.clock.After(followWaitLimit)
 	defer stop()
 	for {
 		sequence, changed := n.changes.subscribe()
@@ -239,7 +239,7 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			return connect.NewResponse(a), nil
 		case <-ctx.Done():
 			return nil, errors.Join(errNoUpdates, ctx.Err())
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -33,10 +33,10 @@
 )
 
 type memberValue struct {
-	Address  string  `json:"address"`
-	Lifetime string  `json:"lifetime"`
-	Hall     string  `json:"hall"`
-	Cores    float64 `json:"cores"`
+	Address     string  `json:"address"`
+	Incarnation string  `json:"lifetime"`
+	Hall        string  `json:"hall"`
+	Cores       float64 `json:"cores"`
 }
 
 // register keeps this node's key in the store until the context ends.
@@ -77,7 +77,7 @@
 	if err != nil {
 		return 0, err
 	}
-	b, err := json.Marshal(memberValue{Address: n.settings.Peers, Lifetime: n.options.Incarnation, Hall: n.settings.Hall, Cores: n.settings.Cores})
+	b, err := json.Marshal(memberValue{Address: n.settings.Peers, Incarnation: n.options.Incarnation, Hall: n.settings.Hall, Cores: n.settings.Cores})
 	if err != nil {
 		return 0, err
 	}
@@ -95,10 +95,10 @@
 		return // no trace of a previous process
 	}
 	var v memberValue
-	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.options.Incarnation {
+	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Incarnation == n.options.Incarnation {
 		return
 	}
-	n.log.Warn("previous_killed", zap.String("lifetime", v.Lifetime), zap.Int64("registered_at", r.Pairs[0].Modified))
+	n.log.Warn("previous_killed", zap.String("lifetime", v.Incarnation), zap.Int64("registered_at", r.Pairs[0].Modified))
 }
 
 const withdrawTimeout = 300 * time.Millisecond
--- a/internal/edge/ordered.go
+++ b/internal/edge/ordered.go
@@ -63,7 +63,7 @@
 
 // restore reads what the previous holder has ordered.
 func (v *orderFloor) restore(ctx context.Context, n *Node, token int64) {
-	own, before := v.counts, v.era
+	ownCounts, ownEra := v.counts, v.era
 	*v = orderFloor{counts: orderedCounts{}, isWritten: true, previous: orderedCounts{}, until: n.start.Add(n.orderFloorPeriod()), era: era.Of(token)}
 	if !orderedRecord.read(ctx, n, &v.previous) {
 		v.previous = orderedCounts{}
@@ -72,8 +72,8 @@
 		maps.DeleteFunc(by, func(_ string, count int) bool { return count < 0 })
 		v.counts[s] = maps.Clone(by)
 	}
-	if v.era > before && len(own) > 0 { // the store may have lost this holder's last orders
-		v.counts, v.isWritten = own, false
+	if v.era > ownEra && len(ownCounts) > 0 { // the store may have lost this holder's last orders
+		v.counts, v.isWritten = ownCounts, false
 	}
 	n.log.Info("ordered_found", logging.Counts("counts", v.previous.flat()))
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -114,12 +114,12 @@
 
 // due returns the peers to call in this round.
 func (t *peerTable) due(now time.Time) []*peer {
-	others := make([]pair.Other, 0, len(t.peers))
+	peers := make([]pair.Other, 0, len(t.peers))
 	for _, p := range t.peers {
-		others = append(others, pair.Other{Name: p.name, Heard: p.lastSeen, Called: p.lastCalled, Busy: p.busy})
+		peers = append(peers, pair.Other{Name: p.name, Heard: p.lastSeen, Called: p.lastCalled, Busy: p.busy})
 	}
 	var list []*peer
-	for _, name := range pair.Due(now, t.n.settings.Node, others) {
+	for _, name := range pair.Due(now, t.n.settings.Node, peers) {
 		list = append(list, t.peers[name])
 	}
 	return list
@@ -146,17 +146,17 @@
 	n.startQuotaSpan(now)
 	n.guard.SetRates(n.storeShare())
 	n.usage.Forget(n.clock.Wall())
-	heard, silent := 0, pair.Silent(n.peers.size())
+	responsive, limit := 0, pair.Silent(n.peers.size())
 	for _, p := range n.peers.peers {
-		if now.Sub(p.lastSeen) <= silent {
-			heard++
+		if now.Sub(p.lastSeen) <= limit {
+			responsive++
 		} else if !p.silenceLogged && !p.lastSeen.IsZero() {
 			p.silenceLogged = true
 			n.logPeer("peer_silent", zap.String("peer", p.name), zap.Duration("for", now.Sub(p.lastSeen)), zap.String("last_call", p.lastFailure))
 		}
 	}
-	call := n.peers.due(now)
-	for _, p := range call {
+	due := n.peers.due(now)
+	for _, p := range due {
 		p.busy, p.lastCalled = true, now
 	}
 	n.updateLimitSenders(now)
@@ -167,8 +167,8 @@
 	if !relayed {
 		n.applyReach(reach)
 	}
-	responsivePeers.Set(int64(heard))
-	for _, p := range call {
+	responsivePeers.Set(int64(responsive))
+	for _, p := range due {
 		go n.swapReports(ctx, p, report)
 	}
 }
@@ -396,8 +396,8 @@
 	}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	s.n.usage.Others(func(node, lifetime string, w usage.Windows) {
-		a.Reports = append(a.Reports, &wire.NodeReport{Node: node, Lifetime: lifetime, Started: message.StartedToWire(w)})
+	s.n.usage.Others(func(node, incarnation string, w usage.Windows) {
+		a.Reports = append(a.Reports, &wire.NodeReport{Node: node, Lifetime: incarnation, Started: message.StartedToWire(w)})
 	})
 	return connect.NewResponse(a), nil
 }
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -44,10 +44,10 @@
 			continue
 		}
 		sent := n.clock.Now()
-		parts, said, err := n.options.FetchCachedParts(ctx, e.Address)
-		n.observeResponse(e, said, sent)
+		parts, response, err := n.options.FetchCachedParts(ctx, e.Address)
+		n.observeResponse(e, response, sent)
 		if err != nil {
-			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Rest), zap.String("cause", err.Error()))
+			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", response.Rest), zap.String("cause", err.Error()))
 			continue
 		}
 		n.pools.Held(e.ID, parts)
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -131,14 +131,14 @@
 func (n *Node) reportToRelay(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
-	lifetime, version := n.relayView.Known(name)
+	incarnation, version := n.relayView.Known(name)
 	n.mu.Unlock()
 	if p == nil {
 		return
 	}
 	c, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	a, err := p.client.Gather(c, connect.NewRequest(&wire.GatherRequest{Report: r, Lifetime: lifetime, Version: version}))
+	a, err := p.client.Gather(c, connect.NewRequest(&wire.GatherRequest{Report: r, Lifetime: incarnation, Version: version}))
 	n.recordRelayCall(p, err)
 	if err == nil {
 		n.mu.Lock()
@@ -177,9 +177,9 @@
 func (n *Node) applyDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
-	words := n.relayView.Take(now, name, d)
-	covered := make(map[string]bool, len(words))
-	for _, w := range words {
+	updates := n.relayView.Take(now, name, d)
+	covered := make(map[string]bool, len(updates))
+	for _, w := range updates {
 		covered[w.Node] = true
 		if p := n.peers.peers[w.Node]; p != nil && !(p.incarnation == w.Lifetime && p.sequence > w.Sequence) {
 			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
@@ -213,13 +213,13 @@
 func (n *Node) swapWithRelays(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var others []pair.Other
+	var peers []pair.Other
 	for _, name := range n.relaysOfAllHalls(now, relay.Relays) {
 		if p := n.peers.peers[name]; p != nil {
-			others = append(others, pair.Other{Name: name, Heard: p.relay.lastSwapped, Called: p.relay.lastCalled, Busy: p.relay.busy})
+			peers = append(peers, pair.Other{Name: name, Heard: p.relay.lastSwapped, Called: p.relay.lastCalled, Busy: p.relay.busy})
 		}
 	}
-	for _, name := range pair.Due(now, n.settings.Node, others) {
+	for _, name := range pair.Due(now, n.settings.Node, peers) {
 		p := n.peers.peers[name]
 		p.relay.busy, p.relay.lastCalled = true, now
 		go n.swapWithRelay(ctx, p)
@@ -256,8 +256,8 @@
 
 // buildGroup returns this relay's state for another relay that knows it up to a version. The node's lock is
 // held.
-func (n *Node) buildGroup(name, lifetime string, version uint64) *wire.Group {
-	v := n.aggregator.Group(n.clock.Now(), n.aggregator.Version(lifetime, version))
+func (n *Node) buildGroup(name, incarnation string, version uint64) *wire.Group {
+	v := n.aggregator.Group(n.clock.Now(), n.aggregator.Version(incarnation, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
 	g := message.GroupToWire(v)
 	g.KnownLifetime, g.KnownVersion = n.aggregator.Known(name)
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -208,9 +208,9 @@
 		delete(r.states, s.Order.Service) // the stored state is read again
 		return
 	}
-	told := same && v.isWritten
+	announced := same && v.isWritten
 	v.state, v.isWritten = s, true
-	if told {
+	if announced {
 		return
 	}
 	v.loggedWait = rollout.CauseNone
@@ -266,15 +266,15 @@
 		If:   []store.Compare{store.Unmodified(dutyKey, r.token), unchanged},
 		Then: []store.Op{{Kind: store.OpPut, Key: rolloutStagePrefix + s.Order.Service, Value: b}},
 	}
-	news := !v.isWritten || s.Stage != v.state.Stage
-	if news {
+	stageChanged := !v.isWritten || s.Stage != v.state.Stage
+	if stageChanged {
 		t.Then = append(t.Then, store.Op{Kind: store.OpPut, Key: key, Value: status})
 	}
 	a, err := r.n.kv.Txn(ctx, t)
 	if err == nil && !a.Succeeded {
 		err = errNotWritten
 	}
-	if err == nil && news {
+	if err == nil && stageChanged {
 		v.statusRevision = a.Revision
 	}
 	return err
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -127,8 +127,8 @@
 }
 
 // mergeTrials merges what other nodes know of roll-outs. The node's lock is held.
-func (n *Node) mergeTrials(now time.Time, words []rollout.Word, source string) {
-	for _, w := range words {
+func (n *Node) mergeTrials(now time.Time, updates []rollout.Word, source string) {
+	for _, w := range updates {
 		n.startTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
 		stage, stopped := t.Stage(), t.Stopped()
@@ -147,15 +147,15 @@
 	if len(n.rollouts.trials) == 0 {
 		return
 	}
-	others := n.rollouts.digestTrials
+	updates := n.rollouts.digestTrials
 	if now.Sub(n.digestAt) > digestLifetime {
-		others = nil
+		updates = nil
 		for _, p := range n.peers.peers {
-			others = rollout.Merge(others, p.trials)
+			updates = rollout.Merge(updates, p.trials)
 		}
 	}
 	for service, t := range n.rollouts.trials {
-		for _, w := range others {
+		for _, w := range updates {
 			if w.Service == service && w.Order == t.Order().Revision && t.Others(w.Tally) {
 				n.logStop(t, "responses at other nodes")
 			}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -196,7 +196,7 @@
 // stop waits until the callers have left, within the time limit.
 func (n *Node) stop(t *requestTracker, front *http.Server) {
 	n.phase.Store(int32(forward.PhaseLeaving))
-	begun := n.clock.Now()
+	startedAt := n.clock.Now()
 	n.log.Info("stopping")
 	defer n.clock.AfterFunc(stopAcceptPeriod, func() {
 		n.phase.Store(int32(forward.PhaseClosed))
@@ -207,7 +207,7 @@
 	})()
 	for {
 		now := n.clock.Now()
-		d := now.Sub(begun)
+		d := now.Sub(startedAt)
 		if d >= n.settings.StopTimeout-stopMargin || d >= minStopTime && t.isQuiet(now) {
 			n.log.Info("stopped", zap.Duration("after", d), zap.Bool("quiet", t.isQuiet(now)))
 			return
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -63,18 +63,18 @@
 // Check returns all faults of the settings.
 func (s *Settings) Check() error {
 	var list []error
-	bad := func(format string, a ...any) { list = append(list, fmt.Errorf(format, a...)) }
+	add := func(format string, a ...any) { list = append(list, fmt.Errorf(format, a...)) }
 	if s.Node == "" {
-		bad("the node has no name")
+		add("the node has no name")
 	}
 	if s.Hall == "" {
-		bad("the node has no hall")
+		add("the node has no hall")
 	}
 	for _, v := range []struct{ name, address string }{
 		{"callers' listener", s.Front}, {"readiness listener", s.Readiness}, {"peers' listener", s.Peers}, {"store", s.Store.Address},
 	} {
 		if _, err := netip.ParseAddrPort(v.address); err != nil {
-			bad("the address of the %s is %q: use an IP number with a port, such as 10.0.0.5:8080", v.name, v.address)
+			add("the address of the %s is %q: use an IP number with a port, such as 10.0.0.5:8080", v.name, v.address)
 		}
 	}
 	for _, v := range []struct {
@@ -82,7 +82,7 @@
 		d    time.Duration
 	}{{"the lease of a duty", s.LeaseTTL}, {"the usage window", s.UsageWindow}, {"the time to stop", s.StopTimeout}, {"the retry window", s.RetryWindow}} {
 		if v.d <= 0 {
-			bad("%s is %v: it has to be longer than 0", v.name, v.d)
+			add("%s is %v: it has to be longer than 0", v.name, v.d)
 		}
 	}
 	if len(list) == 0 {
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -187,7 +187,7 @@
 }
 
 func (n *Node) newCatalogFollower() *follower {
-	take := func(p store.Pair) {
+	apply := func(p store.Pair) {
 		switch {
 		case p.Key == n.options.CatalogKey:
 			n.applyCatalog(p.Value, "store")
@@ -201,14 +201,14 @@
 			// Orders first: requests are served as soon as there is a configuration.
 			slices.SortStableFunc(r.Pairs, func(a, b store.Pair) int { return strings.Compare(b.Key, a.Key) })
 			for _, p := range r.Pairs {
-				take(p)
+				apply(p)
 			}
 		},
 		applyBatch: func(b store.WatchBatch) {
 			for _, e := range b.Events {
 				switch {
 				case !e.Deleted:
-					take(e.Pair)
+					apply(e.Pair)
 				case strings.HasPrefix(e.Pair.Key, n.options.OrderPrefix):
 					n.withdrawOrder(e.Pair.Key, e.Pair.Modified)
 				}
@@ -220,14 +220,14 @@
 func (n *Node) newListFollower() *follower {
 	f := &follower{n: n, name: "upstreams", prefix: n.options.EntryPrefix, watchWait: listWatchWait}
 	f.applySnapshot = func(r store.RangeResult) {
-		back := !f.failedSince.IsZero()
-		items, bad := n.decodeEntries(r.Pairs)
+		returned := !f.failedSince.IsZero()
+		items, undecodable := n.decodeEntries(r.Pairs)
 		n.updateList("store", func(now time.Time, l *pool.List) {
-			if back {
+			if returned {
 				l.StoreReturned(now)
 			}
 			l.Replace(now, r.Revision, items)
-			n.voidEntries(l, bad)
+			n.voidEntries(l, undecodable)
 		})
 		n.listed.Store(true)
 		n.signalInitialized()
@@ -248,36 +248,36 @@
 		l.Remove(now, e.Pair.Modified, n.entryID(e.Pair.Key))
 		return
 	}
-	items, bad := n.decodeEntries([]store.Pair{e.Pair})
+	items, undecodable := n.decodeEntries([]store.Pair{e.Pair})
 	for _, v := range items {
 		l.Put(v)
 	}
-	n.voidEntries(l, bad)
+	n.voidEntries(l, undecodable)
 }
 
 func (n *Node) entryID(key string) string { return key[min(len(n.options.EntryPrefix), len(key)):] }
 
 // voidEntries marks the entries whose values can't be decoded.
-func (n *Node) voidEntries(l *pool.List, bad []store.Pair) {
-	for _, p := range bad {
+func (n *Node) voidEntries(l *pool.List, pairs []store.Pair) {
+	for _, p := range pairs {
 		l.Void(p.Modified, n.entryID(p.Key))
 	}
 }
 
 // decodeEntries decodes entries, and returns the pairs that can't be decoded.
-func (n *Node) decodeEntries(pairs []store.Pair) (sound []pool.Item, bad []store.Pair) {
-	sound = make([]pool.Item, 0, len(pairs))
+func (n *Node) decodeEntries(pairs []store.Pair) (decoded []pool.Item, undecodable []store.Pair) {
+	decoded = make([]pool.Item, 0, len(pairs))
 	for _, p := range pairs {
 		e, err := n.options.DecodeEntry(p.Key, p.Value)
 		if err != nil {
 			n.unreadableEntries.record(n.log, p, err)
-			bad = append(bad, p)
+			undecodable = append(undecodable, p)
 			continue
 		}
 		n.unreadableEntries.clear(p.Key)
-		sound = append(sound, pool.Item{Entry: e, Revision: p.Modified})
+		decoded = append(decoded, pool.Item{Entry: e, Revision: p.Modified})
 	}
-	return sound, bad
+	return decoded, undecodable
 }
 
 // unreadableEntries maps the keys of undecodable entries to the reasons that were logged. Only the list
