--- a/internal/edge/counted_test.go
+++ b/internal/edge/counted_test.go
@@ -14,7 +14,7 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// counter is a holder that counts.
+// newCounter returns a holder of the duties that counts usage.
 func newCounter(t *testing.T, kv store.KV, clock *timer.Service, name, lifetime string) *Node {
 	t.Helper()
 	n := newHolder(t, kv, clock, name)
@@ -24,8 +24,7 @@
 	return n
 }
 
-// TestCountsOutliveAllProcesses: a window has ended and isn't settled when all processes
-// are lost.
+// TestUsageCountsSurviveLossOfAllProcesses loses all processes after a window has ended and before it is settled.
 func TestUsageCountsSurviveLossOfAllProcesses(t *testing.T) {
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
@@ -42,38 +41,38 @@
 	a.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
 	clock.Advance(5 * time.Second)
 	a.usage.Add(clock.Service().Now(), "w") // in the next window
-	a.lease.Resign()                        // the store's clock stands for the lease's renewals
+	a.lease.Resign()                        // not renewed while the clock was advanced
 	token := acquireLease(t, a)
 	c.write(ctx, a, token)
-	assert.Zero(t, c.writtenWindow, "reports of the window's last moments are still to come")
+	assert.Zero(t, c.writtenWindow, "reports of the end of the window are still outstanding")
 	clock.Advance(usageWriteDelay)
 	c.write(ctx, a, token)
 	assert.Equal(t, window, c.writtenWindow)
 
-	again := newCounter(t, kv, clock.Service(), "a", "2")
-	acquireLease(t, again)
+	restarted := newCounter(t, kv, clock.Service(), "a", "2")
+	acquireLease(t, restarted)
 	var d usageCountsWriter
-	d.restore(ctx, again)
-	assert.Equal(t, usage.Counts{"w": 8}, again.usage.Sum(window))
-	assert.Empty(t, again.usage.Sum(window+1), "windows that haven't ended aren't written")
-	t.Run("what is heard again of a process isn't counted twice", func(t *testing.T) {
-		again.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
-		assert.Equal(t, usage.Counts{"w": 8}, again.usage.Sum(window))
+	d.restore(ctx, restarted)
+	assert.Equal(t, usage.Counts{"w": 8}, restarted.usage.Sum(window))
+	assert.Empty(t, restarted.usage.Sum(window+1), "windows that haven't ended aren't written")
+	t.Run("repeated reports of a process are counted once", func(t *testing.T) {
+		restarted.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
+		assert.Equal(t, usage.Counts{"w": 8}, restarted.usage.Sum(window))
 	})
-	t.Run("what is to be written doesn't change under the writer", func(t *testing.T) {
-		list := again.processCounts(window)
-		again.usage.TakeIn("b", "1", usage.Windows{window: {"w": 100, "v": 1}})
+	t.Run("counts to be written are a copy", func(t *testing.T) {
+		list := restarted.processCounts(window)
+		restarted.usage.TakeIn("b", "1", usage.Windows{window: {"w": 100, "v": 1}})
 		for _, p := range list {
 			assert.NotContains(t, p.Windows[window], "v")
 		}
-		again.usage = usage.New("a", "2", 5*time.Second)
-		d.restore(ctx, again)
+		restarted.usage = usage.New("a", "2", 5*time.Second)
+		d.restore(ctx, restarted)
 	})
-	t.Run("counts that come late are written again", func(t *testing.T) {
+	t.Run("late counts cause another write", func(t *testing.T) {
 		a.lease.Resign()
-		again.lease.Resign()
+		restarted.lease.Resign()
 		token := acquireLease(t, a)
-		a.usage.TakeIn("c", "1", usage.Windows{window: {"w": 30}}) // it was cut off
+		a.usage.TakeIn("c", "1", usage.Windows{window: {"w": 30}}) // its hall was partitioned
 		clock.Advance(usageRewriteInterval)
 		c.write(ctx, a, token)
 		a.lease.Resign()
@@ -83,11 +82,11 @@
 		e.restore(ctx, late)
 		assert.Equal(t, usage.Counts{"w": 38}, late.usage.Sum(window))
 		late.lease.Resign()
-		acquireLease(t, again)
+		acquireLease(t, restarted)
 	})
-	t.Run("it is passed on", func(t *testing.T) {
-		again.lease.Resign()
-		d.write(ctx, again, acquireLease(t, again))
+	t.Run("a holder writes restored counts again", func(t *testing.T) {
+		restarted.lease.Resign()
+		d.write(ctx, restarted, acquireLease(t, restarted))
 		third := newCounter(t, kv, clock.Service(), "a", "3")
 		acquireLease(t, third)
 		var e usageCountsWriter
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -18,7 +18,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// erasKV is a stand-in's keys as a store that may come back from a copy.
+// newEraKV returns a stand-in's keys as a store that may return from a copy.
 func newEraKV(k *standin.Keys, c *era.Clock) store.KV {
 	return store.Dated(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) { return k.Range(key, end), nil },
@@ -50,7 +50,7 @@
 	return v
 }
 
-// giveBack lets the store come back from a copy, and the node take the duties anew.
+// restoreStore returns the store to a copy, and lets the node acquire the duties again.
 func (v *eraNode) restoreStore(t *testing.T, c *standin.Copy) int64 {
 	t.Helper()
 	v.keys.Return(c)
@@ -58,7 +58,7 @@
 	return acquireLease(t, v.Node)
 }
 
-// TestOrderedOverAnOlderCopy: what was ordered since the copy stands in the store again.
+// TestOrderFloorRewrittenAfterStoreRestore checks that counts ordered since the copy are written to the store again.
 func TestOrderFloorRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
 	onDemand := orderKey{"llm", "hall-a", false}
@@ -75,7 +75,7 @@
 	assert.Equal(t, 4, next.minCount(n.clock.Service().Now(), onDemand))
 }
 
-// TestHeldOverAnOlderCopy: what holds requests back stands in the store again.
+// TestQuarantineRewrittenAfterStoreRestore checks that crashes recorded since the copy are written to the store again.
 func TestQuarantineRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
 	token := acquireLease(t, n.Node)
@@ -93,8 +93,8 @@
 	assert.Len(t, n.keys.Range(quarantineRecord.key, "").Pairs, 1)
 }
 
-// TestLearnedOverAnOlderCopy: what the copy has of the engines is older than what this process goes by, or
-// nothing. It doesn't take its place, and what is known now stands in the store again.
+// TestEnginesRewrittenAfterStoreRestore restores the store to a copy whose engine figures are missing or older than those
+// of this process. They must not replace the current figures, which are written to the store again.
 func TestEnginesRewrittenAfterStoreRestore(t *testing.T) {
 	old, now := capacity.Engine{Reading: 30, First: 90, Token: 20}, capacity.Engine{Reading: 90, First: 30, Token: 5}
 	for name, copied := range map[string]map[string]capacity.Engine{
@@ -117,76 +117,76 @@
 			n.pools = pool.New(n.clock.Service(), "a", "hall-a")
 			var next enginesWriter
 			next.restore(ctx, n.Node)
-			assert.Equal(t, now.Reading, n.pools.Engine("llm").Reading, "who begins later finds it")
+			assert.Equal(t, now.Reading, n.pools.Engine("llm").Reading, "a later process restores it")
 		})
 	}
 }
 
-// TestWatchesBeginAnewAtARise: whoever the rise is heard from, the watches under way are ended with it. A
-// node that hears it from another one has no call at the store that fails by it, and would read anew only
-// once the watch's time is over, 6 s later at most.
+// TestWatchesRestartOnEraRise checks that a rise ends the watches in progress, whichever node reports it. A node that
+// learns of it from a peer has no failing call at the store, and would read again only at the end of the watch's wait, up
+// to 6 s later.
 func TestWatchesRestartOnEraRise(t *testing.T) {
 	n := newEraNode(t).Node
 	n.listFollower, n.catalogFollower = &follower{n: n}, &follower{n: n}
-	under := func(f *follower) context.Context {
+	startWatch := func(f *follower) context.Context {
 		c, stop := context.WithCancelCause(t.Context())
 		f.setCancel(stop)
 		return c
 	}
-	list, catalog := under(n.listFollower), under(n.catalogFollower)
+	list, catalog := startWatch(n.listFollower), startWatch(n.catalogFollower)
 	n.onEraRise(era.Rise{From: 1, To: 2})
 	assert.ErrorIs(t, context.Cause(list), errBehind)
 	assert.ErrorIs(t, context.Cause(catalog), errBehind)
 }
 
-// TestDoubtfulWindows: the first holder in an era doubts what ended before its term, also one that
-// began after the store's return; the next one in that era goes by the first one's word.
+// TestDoubtfulWindows checks that the first holder in an era doubts the windows that ended before its term, also if its
+// process started after the store's return; the next holder in that era uses the first one's record.
 func TestDoubtfulWindows(t *testing.T) {
 	ctx := t.Context()
-	began := func(n *eraNode, token int64) eraTerm {
+	startTerm := func(n *eraNode, token int64) eraTerm {
 		var v eraTerm
 		v.restore(ctx, n.Node, token)
 		return v
 	}
-	t.Run("in the first term of the whole system nothing is doubtful", func(t *testing.T) {
+	t.Run("no window is doubtful in the first term of the whole system", func(t *testing.T) {
 		n := newEraNode(t)
 		n.Node.settings.FirstStart = true
-		v := began(n, acquireLease(t, n.Node))
+		v := startTerm(n, acquireLease(t, n.Node))
 		assert.False(t, v.isDoubtful(time.Unix(1, 0)))
 	})
-	t.Run("after a return all before is, and stays so for the next holder", func(t *testing.T) {
+	t.Run("windows before a return are doubtful, also for the next holder", func(t *testing.T) {
 		n := newEraNode(t)
 		n.Node.settings.FirstStart = true
-		v := began(n, acquireLease(t, n.Node))
+		v := startTerm(n, acquireLease(t, n.Node))
 		copied := n.keys.Copy()
 		n.Node.storeRestoredAt.Store(new(time.Time))
 		token := n.restoreStore(t, copied)
 		at := n.clock.Service().Wall()
-		v = began(n, token)
+		v = startTerm(n, token)
 		assert.True(t, v.isDoubtful(at.Add(-time.Second)))
 		assert.False(t, v.isDoubtful(at.Add(time.Second)))
 		n.clock.Advance(time.Minute)
-		v = began(n, token)
-		assert.False(t, v.isDoubtful(at.Add(time.Second)), "the era began when the first one said")
+		v = startTerm(n, token)
+		assert.False(t, v.isDoubtful(at.Add(time.Second)), "the era started when the first holder recorded it")
 	})
-	t.Run("a process that began after it knows no better", func(t *testing.T) {
+	t.Run("a process started after the return doubts earlier windows", func(t *testing.T) {
 		n := newEraNode(t)
-		v := began(n, acquireLease(t, n.Node))
+		v := startTerm(n, acquireLease(t, n.Node))
 		assert.True(t, v.isDoubtful(n.clock.Service().Wall().Add(-time.Second)))
 	})
-	t.Run("while the store doesn't tell, all is", func(t *testing.T) {
+	t.Run("all windows are doubtful while the store is unavailable", func(t *testing.T) {
 		n := newEraNode(t)
 		token := acquireLease(t, n.Node)
 		n.Node.kv.Range = func(context.Context, string, string) (store.RangeResult, error) {
 			return store.RangeResult{}, store.ErrUnavailable
 		}
 		n.Node.log = zap.NewNop()
-		v := began(n, token)
+		v := startTerm(n, token)
 		assert.True(t, v.isDoubtful(time.Unix(1<<40, 0)))
 	})
-	t.Run("a store without eras loses nothing", func(t *testing.T) {
+	t.Run("no window is doubtful in a store without eras", func(t *testing.T) {
 		n := newEraNode(t)
-		v := began(n, 7)
+		v := startTerm(n, 7)
 		assert.False(t, v.isDoubtful(time.Unix(1, 0)))
 	})
 }
--- a/internal/edge/heard_test.go
+++ b/internal/edge/heard_test.go
@@ -19,8 +19,8 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// TestNoAnswerSaysNothing: a node asks an engine that names a limit what it has cached, and can't reach it. That no
-// answer named a limit was taken for an answer that names none: it was lifted, for all nodes.
+// TestFailedCallKeepsLimit: a node fails to reach a limited engine when it asks for cached parts. The missing response
+// counted as a response without a limit, which lifted the limit for all nodes.
 func TestFailedCallKeepsLimit(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{
@@ -34,13 +34,13 @@
 	n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, n.start)
 	c.Advance(time.Second)
 	sent := c.Service().Now()
-	_, said, _ := n.options.FetchCachedParts(t.Context(), e.Address)
-	n.observeResponse(e, said, sent)
+	_, response, _ := n.options.FetchCachedParts(t.Context(), e.Address)
+	n.observeResponse(e, response, sent)
 	assert.Len(t, n.pools.Limits(), 1)
 	assert.False(t, n.pools.Limits()[0].Lifted)
 }
 
-// TestUpstreamsAreShown: what operators are told of an upstream is what the node goes by.
+// TestUpstreamsReportsStates checks that operators see the upstream states that the node uses.
 func TestUpstreamsReportsStates(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
@@ -61,6 +61,6 @@
 	v := a.Msg.Upstreams
 	assert.Equal(t, []any{"n", 3.0, int64(400), int64(600)}, []any{a.Msg.Node, v[0].Rate, v[0].LimitAgeMs, v[0].RestMs})
 	assert.True(t, v[1].Leaving)
-	assert.False(t, v[1].Declared, "its answer said so")
+	assert.False(t, v[1].Declared, "only its response states that it is leaving")
 	assert.Equal(t, []any{false, false, int64(-1), int64(5)}, []any{v[2].Leaving, v[2].Limited, v[2].UnreachedMs, v[2].Born})
 }
--- a/internal/edge/learned_test.go
+++ b/internal/edge/learned_test.go
@@ -38,7 +38,7 @@
 	engine := capacity.Engine{Reading: 90, First: 30, Token: 5, Samples: 400}
 	first.write(ctx, a, token, map[string]capacity.Engine{"llm": engine})
 
-	t.Run("a small change is no call", func(t *testing.T) {
+	t.Run("a small change causes no call", func(t *testing.T) {
 		calls = 0
 		near := engine
 		near.Reading *= 1.2
@@ -46,13 +46,13 @@
 		assert.Zero(t, calls)
 	})
 	t.Run("after the loss of all processes", func(t *testing.T) {
-		clock.Advance(4 * time.Second) // a's lease is over
+		clock.Advance(4 * time.Second) // a's lease has expired
 		b, _ := start("b")
 		assert.False(t, b.pools.Engine("llm").Known())
 		var second enginesWriter
 		second.restore(ctx, b)
 		assert.Equal(t, engine.Reading, b.pools.Engine("llm").Reading)
 		assert.True(t, b.pools.Engine("llm").Known())
-		assert.Contains(t, b.pools.Learned(), "llm", "and it tells the others")
+		assert.Contains(t, b.pools.Learned(), "llm", "its reports contain it")
 	})
 }
--- a/internal/edge/levels_test.go
+++ b/internal/edge/levels_test.go
@@ -39,7 +39,7 @@
 	v.write(ctx, a, acquireLease(t, a))
 	written := v.writtenAt
 
-	t.Run("levels that didn't change aren't written again", func(t *testing.T) {
+	t.Run("unchanged levels aren't written again", func(t *testing.T) {
 		clock.Advance(levelsCheckInterval)
 		token, _ := a.lease.Token()
 		v.write(ctx, a, token)
@@ -49,14 +49,14 @@
 		v.write(ctx, a, token)
 		assert.NotEqual(t, written, v.writtenAt)
 	})
-	t.Run("a process that starts goes on from them", func(t *testing.T) {
+	t.Run("a starting process restores them", func(t *testing.T) {
 		clock.Advance(100 * time.Millisecond)
 		b := start("b", false)
 		assert.InDelta(t, 250, level(b), 1)
 		b.restoreLevels(ctx)
-		assert.InDelta(t, 650, level(b), 60, "what was left and what has come since")
+		assert.InDelta(t, 650, level(b), 60, "the stored level and the refill since")
 	})
-	t.Run("not from old ones", func(t *testing.T) {
+	t.Run("old levels are ignored", func(t *testing.T) {
 		clock.Advance(time.Minute)
 		c := start("c", false)
 		c.restoreLevels(ctx)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -14,19 +14,19 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestYoungProcessesShareNoLimit: all processes of a fleet begin at once, while the store is away. Each took itself for
-// the only one, and the whole rate that an upstream had named for all: 113 requests in 4 s came where 29 are
-// allowed, from 70 nodes in the model.
+// TestStartingProcessesHaveNoLimitShare: all processes of a fleet start at once while the store is unavailable. Each
+// considered itself the only one and used the whole rate that an upstream had set for all: in the model, 70 nodes sent
+// 113 requests in 4 s where 29 are allowed.
 func TestStartingProcessesHaveNoLimitShare(t *testing.T) {
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
-	begin := func() (*Node, *timer.Manual) {
+	start := func() (*Node, *timer.Manual) {
 		c := timer.NewManual(time.Unix(1_700_000_000, 0))
 		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 		n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
 		n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 40}, n.start)
 		return n, c
 	}
-	// sends tells whether the node sends anything there in some rounds.
+	// sends reports whether the node sends a request to the upstream within some rounds.
 	sends := func(n *Node, c *timer.Manual, rounds int) bool {
 		for range rounds {
 			n.updateLimitSenders(c.Service().Now())
@@ -37,19 +37,19 @@
 		}
 		return false
 	}
-	t.Run("that nobody has told of others", func(t *testing.T) {
-		n, c := begin()
+	t.Run("no peer has reported", func(t *testing.T) {
+		n, c := start()
 		assert.False(t, sends(n, c, int(peersWait/pair.Round)))
-		assert.True(t, sends(n, c, 5), "who is alone for longer is taken to be")
+		assert.True(t, sends(n, c, 5), "a process without peers counts as the only one after the wait limit")
 	})
-	t.Run("before the first round, either", func(t *testing.T) {
-		n, c := begin()
+	t.Run("before the first round", func(t *testing.T) {
+		n, c := start()
 		assert.False(t, n.pools.Ask(e))
 		c.Advance(pair.Round - time.Millisecond)
 		assert.False(t, n.pools.Ask(e))
 	})
-	t.Run("but one that has read the registry", func(t *testing.T) {
-		n, c := begin()
+	t.Run("the registry has been read", func(t *testing.T) {
+		n, c := start()
 		n.peersRead = true
 		assert.True(t, sends(n, c, 3))
 	})
--- a/internal/edge/members_test.go
+++ b/internal/edge/members_test.go
@@ -16,8 +16,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// hall returns a node with so many others in its hall, all heard just now and served by the
-// store, the fleet being as large.
+// newHallNode returns a node with the given number of peers, all in its hall, responsive and connected to the store.
 func newHallNode(t *testing.T, others int) (*Node, *timer.Manual, *observer.ObservedLogs) {
 	t.Helper()
 	c := timer.NewManual(time.Unix(1000, 0))
@@ -31,8 +30,8 @@
 	return n, c, logs
 }
 
-// TestWatchersAreServed: a node that the store turns away doesn't watch for its hall, unless
-// it turns all of them away.
+// TestWatchersReachTheStore checks that a node whose calls the store rejects doesn't watch for its hall, unless the store
+// rejects all nodes.
 func TestWatchersReachTheStore(t *testing.T) {
 	n, _, _ := newHallNode(t, 9)
 	before := n.watchers()
@@ -40,14 +39,14 @@
 	n.peers.peers[before[0]].storeUp = false
 	after := n.watchers()
 	assert.NotContains(t, after, before[0])
-	assert.Contains(t, after, before[1], "nobody else changes")
+	assert.Contains(t, after, before[1], "the other watcher stays")
 	for _, p := range n.peers.peers {
 		p.storeUp = false
 	}
-	assert.Len(t, n.watchers(), watchersPerHall, "somebody has to try")
+	assert.Len(t, n.watchers(), watchersPerHall, "if the store rejects all nodes, the watchers still retry")
 }
 
-// TestRelaysThatFailedAreNotAsked, until they are heard again or some time has passed.
+// TestFailedRelaysAreNotCalled checks that a failed relay isn't called until it reports again or some time has passed.
 func TestFailedRelaysAreNotCalled(t *testing.T) {
 	n, c, _ := newHallNode(t, 20)
 	first := relay.Relays(n.hallNodes(n.clock.Now(), "a"))[0]
@@ -73,7 +72,7 @@
 	assertAsked(t, true)
 }
 
-// names returns those of a list that are a name.
+// matching returns the elements of a list that equal a name.
 func matching(list []string, name string) []string {
 	var r []string
 	for _, v := range list {
@@ -84,8 +83,8 @@
 	return r
 }
 
-// TestLogOfOthersFollowsTheFleet: in a large fleet, a node that doesn't watch the store for
-// its hall logs a line a round about the others, whatever became of how many.
+// TestPeerLogIsAggregatedInLargeFleets checks that in a large fleet, a node that doesn't watch the store for its hall logs
+// one line per round about its peers, whatever the number of events.
 func TestPeerLogIsAggregatedInLargeFleets(t *testing.T) {
 	n, _, logs := newHallNode(t, 94)
 	for _, p := range n.peers.peers {
@@ -95,8 +94,8 @@
 	assert.Equal(t, 1, logs.Len())
 	assert.Equal(t, int64(94), logs.FilterMessage("peers_changed").All()[0].ContextMap()["heard"])
 	n.flushPeerLog()
-	assert.Equal(t, 1, logs.Len(), "nothing more has happened")
+	assert.Equal(t, 1, logs.Len(), "no new events")
 	n.peerLog.verbose = true
 	n.logPeer("peer_heard", zap.String("peer", "edge-1"))
-	assert.Equal(t, 1, logs.FilterMessage("peer_heard").Len(), "one that watches tells of each")
+	assert.Equal(t, 1, logs.FilterMessage("peer_heard").Len(), "a watcher logs each event")
 }
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -15,14 +15,14 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// silentNode answers reports with nothing.
+// emptyReportHandler responds to reports with an error and no content.
 func emptyReportHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(wireconnect.NewEdgeHandler(wireconnect.UnimplementedEdgeHandler{}))
 	return m
 }
 
-// heldBytes is what the process holds now, on the heap and in stacks.
+// memoryInUse returns the memory of the process in heap and stacks.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -31,8 +31,8 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkPeerConnections calls 300 other nodes in turn, as pairs do, and reports what each
-// of them costs in memory afterwards, both ends of a connection together.
+// BenchmarkPeerConnections calls up to 300 peers in turn, as pairs do, and reports the memory that each of them takes
+// afterwards, both ends of a connection together.
 func BenchmarkPeerConnections(b *testing.B) {
 	for _, nodes := range []int{70, 300} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
--- a/internal/edge/ordered_test.go
+++ b/internal/edge/ordered_test.go
@@ -17,7 +17,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// holder is a node as far as the orders' record needs one.
+// newHolder returns a node with the parts that records in the store need.
 func newHolder(t *testing.T, kv store.KV, clock *timer.Service, name string) *Node {
 	t.Helper()
 	n := &Node{kv: kv, clock: clock, log: zap.NewNop(), start: clock.Now()}
@@ -28,7 +28,7 @@
 	return n
 }
 
-// takeOver makes a node the holder and returns its token.
+// acquireLease makes a node the holder and returns its token.
 func acquireLease(t *testing.T, n *Node) int64 {
 	t.Helper()
 	require.NoError(t, n.lease.Step(context.Background()))
@@ -52,37 +52,37 @@
 	first.record(onDemand, 4)
 	first.record(reclaimable, 9)
 	first.write(ctx, a, token)
-	clock.Advance(4 * time.Second) // a's lease is over
+	clock.Advance(4 * time.Second) // a's lease has expired
 	b := newHolder(t, kv, clock.Service(), "b")
 	acquireLease(t, b)
 	second.restore(ctx, b, 1)
 
-	t.Run("it orders no fewer on demand for a while", func(t *testing.T) {
+	t.Run("a new holder orders no fewer on demand for a while", func(t *testing.T) {
 		assert.Equal(t, 4, second.minCount(clock.Service().Now(), onDemand))
 		assert.Zero(t, second.minCount(clock.Service().Now(), reclaimable))
 		assert.Zero(t, second.minCount(clock.Service().Now(), orderKey{"llm", "hall-b", false}))
 		assert.Zero(t, second.minCount(clock.Service().Now().Add(b.orderFloorPeriod()), onDemand))
 	})
-	t.Run("one that has run for longer goes by what it measured", func(t *testing.T) {
+	t.Run("a process that has run for longer uses its own measurements", func(t *testing.T) {
 		var v orderFloor
 		old := newHolder(t, kv, clock.Service(), "c")
 		old.start = old.start.Add(-old.orderFloorPeriod())
 		v.restore(ctx, old, 1)
 		assert.Zero(t, v.minCount(clock.Service().Now(), onDemand))
 	})
-	t.Run("the holder before writes nothing any more", func(t *testing.T) {
+	t.Run("the previous holder can't write", func(t *testing.T) {
 		first.record(onDemand, 1)
 		first.write(ctx, a, token)
 		var third orderFloor
 		third.restore(ctx, b, 1)
 		assert.Equal(t, 4, third.minCount(clock.Service().Now(), onDemand))
 	})
-	t.Run("what can't be written is tried again", func(t *testing.T) {
-		away := kv
-		away.Txn = func(context.Context, store.Txn) (store.TxnResult, error) { return store.TxnResult{}, store.ErrUnknown }
+	t.Run("a failed write is retried", func(t *testing.T) {
+		down := kv
+		down.Txn = func(context.Context, store.Txn) (store.TxnResult, error) { return store.TxnResult{}, store.ErrUnknown }
 		second.record(onDemand, 6)
 		token, _ := b.lease.Token()
-		b.kv = away
+		b.kv = down
 		second.write(ctx, b, token)
 		b.kv = kv
 		second.write(ctx, b, token)
@@ -90,12 +90,12 @@
 		third.restore(ctx, b, 1)
 		assert.Equal(t, 6, third.minCount(clock.Service().Now(), onDemand))
 	})
-	t.Run("a store that doesn't answer is no obstacle", func(t *testing.T) {
-		away := kv
-		away.Range = func(context.Context, string, string) (store.RangeResult, error) {
+	t.Run("the floor is 0 if the store is unavailable", func(t *testing.T) {
+		down := kv
+		down.Range = func(context.Context, string, string) (store.RangeResult, error) {
 			return store.RangeResult{}, store.ErrUnavailable
 		}
-		c := newHolder(t, away, clock.Service(), "c")
+		c := newHolder(t, down, clock.Service(), "c")
 		var v orderFloor
 		v.restore(ctx, c, 1)
 		assert.Zero(t, v.minCount(clock.Service().Now(), onDemand))
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -14,7 +14,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// listing is a node that has listed two reclaimable upstreams in each of two halls.
+// newListedOrderer returns an orderer that has listed two reclaimable upstreams in each of two halls.
 func newListedOrderer(clock *timer.Service) *orderer {
 	n := &Node{peers: &peerTable{}, clock: clock, log: zap.NewNop(), settings: &Settings{Hall: "a", Halls: map[string]string{"a": "r", "b": "r"}}, pools: pool.New(clock, "a", "a"), rollouts: newRollouts()}
 	n.pools.Update(func(l *pool.List) {
@@ -25,7 +25,7 @@
 	return newOrderer(n)
 }
 
-// hallOf is what a hall has as the orderer sees it.
+// hallStateOf returns the orderer's state of a hall.
 func hallStateOf(o *orderer, hall string) autoscale.HallState {
 	for _, h := range o.hallStates(&catalog.ServiceSpec{Name: "s", Scaling: &catalog.ScalingSpec{ZonePrices: map[string]float64{"a": 1, "b": 1}}}) {
 		if h.Hall == hall {
@@ -35,7 +35,7 @@
 	return autoscale.HallState{}
 }
 
-// unreached is what several other nodes of the hall couldn't reach.
+// unreachedUpstreams returns reports of several other nodes of the hall that couldn't reach the upstreams.
 func unreachedUpstreams(ids ...string) pool.Reach {
 	var r pool.Reach
 	for _, id := range ids {
@@ -44,9 +44,9 @@
 	return r
 }
 
-// TestDeadUpstreamsAreNoCapacity: while the store is away, upstreams that are gone stay in the
-// list. What several nodes can't reach counts as taken, so a wave is seen by the first hall
-// that it takes; a hall that is cut off keeps what it has.
+// TestUnreachedUpstreamsAreNoCapacity: while the store is unavailable, terminated upstreams stay in the list. Upstreams
+// that several nodes can't reach count as reclaimed, so that a wave is noticed in the first hall that it affects; a
+// partitioned hall keeps its upstreams.
 func TestUnreachedUpstreamsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	o := newListedOrderer(clock.Service())
@@ -58,7 +58,7 @@
 	assert.Equal(t, 0, hallStateOf(o, "a").Reclaimable)
 	assert.Equal(t, 2, hallStateOf(o, "a").Leaving)
 	assert.Equal(t, 2, hallStateOf(o, "b").Reclaimable)
-	t.Run("but in a hall that is cut off", func(t *testing.T) {
+	t.Run("upstreams of a partitioned hall still count", func(t *testing.T) {
 		o := newListedOrderer(clock.Service())
 		o.n.pools.TakeReach(unreachedUpstreams("b1", "b2"))
 		clock.Advance(2 * time.Second)
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestUntriedVersionsAreNoCapacity: an upstream of a roll-out's target counts from the end on,
-// when those of the version before are gone.
+// TestUntriedVersionsAreNoCapacity checks that upstreams of a roll-out's target count only from its end on, when those of
+// the previous version are gone.
 func TestUntriedVersionsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	o := newListedOrderer(clock.Service())
@@ -76,7 +76,7 @@
 	})
 	o.n.startTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Revision: 7}, "test")
 	assert.Equal(t, 2, hallStateOf(o, "a").Reclaimable)
-	assert.True(t, o.n.isRollingOut("s"), "none is let go before the end")
+	assert.True(t, o.n.isRollingOut("s"), "no upstream is removed before the end")
 	o.n.rollouts.trials["s"].Raise(clock.Service().Now(), rollout.StageCompleted)
 	assert.Equal(t, 1, hallStateOf(o, "a").Reclaimable)
 	assert.False(t, o.n.isRollingOut("s"))
--- a/internal/edge/place_test.go
+++ b/internal/edge/place_test.go
@@ -15,8 +15,8 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// TestPlaceForNobody: a request that its node waits for no more isn't placed, and takes nothing of what an
-// upstream takes from all nodes together.
+// TestLatePlaceRequestIsRejected checks that a request whose node has stopped waiting isn't placed, and uses none of the
+// rate that an upstream allows to all nodes together.
 func TestLatePlaceRequestIsRejected(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1_700_000_000, 0))
 	p := pool.New(clock.Service(), "relay", "h")
@@ -24,16 +24,16 @@
 	p.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
 	clock.Advance(time.Minute)
 	p.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, clock.Service().Now())
-	assert.Nil(t, p.Pick(pool.Need{ID: "r", Service: "s", Engine: true}), "its share begins with nothing")
+	assert.Nil(t, p.Pick(pool.Need{ID: "r", Service: "s", Engine: true}), "its share starts without allowance")
 	clock.Advance(time.Second)
 	s := &edgeService{n: &Node{log: zap.NewNop(), pools: p}}
-	left, leave := context.WithCancel(t.Context())
-	leave()
-	_, err := s.Place(left, connect.NewRequest(&wire.PlaceRequest{Node: "n", Request: "r", Service: "s"}))
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err := s.Place(canceled, connect.NewRequest(&wire.PlaceRequest{Node: "n", Request: "r", Service: "s"}))
 	assert.Equal(t, connect.CodeDeadlineExceeded, connect.CodeOf(err))
 	assert.Empty(t, p.Pending())
 	a, err := s.Place(t.Context(), connect.NewRequest(&wire.PlaceRequest{Node: "n", Request: "r", Service: "s"}))
 	assert.NoError(t, err)
-	assert.Equal(t, "a", a.Msg.Upstream, "its turn is there still")
+	assert.Equal(t, "a", a.Msg.Upstream, "the rate is still available")
 	assert.Len(t, p.Pending(), 1)
 }
--- a/internal/edge/ready_test.go
+++ b/internal/edge/ready_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// exhausted is a listener of a process that is out of descriptors.
+// failingListener is a listener in a process without free descriptors.
 type failingListener struct{ net.Listener }
 
 // Accept fails.
@@ -23,8 +23,8 @@
 	return nil, errors.New("accept: too many open files")
 }
 
-// TestNodeThatTakesNoConnectionIsNotReady: the balancer asks another listener, and would go on
-// sending callers.
+// TestNotReadyWhileAcceptFails: the balancer checks a separate listener, and would continue to send callers to a node that
+// can't accept their connections.
 func TestNotReadyWhileAcceptFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -42,10 +42,10 @@
 	assert.Error(t, err)
 	assert.False(t, n.isReady())
 	clock.Advance(accept.Keeps)
-	assert.True(t, n.isReady(), "nobody has called since, so it is tried again")
+	assert.True(t, n.isReady(), "no connection has failed recently, so the node is ready again")
 	_, _ = w.Accept()
 	assert.False(t, n.isReady())
-	t.Run("nor one whose listener is closed", func(t *testing.T) {
+	t.Run("a closed listener", func(t *testing.T) {
 		w := n.monitorFront(l)
 		assert.True(t, n.isReady())
 		require.NoError(t, l.Close())
--- a/internal/edge/records_test.go
+++ b/internal/edge/records_test.go
@@ -16,8 +16,8 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// FuzzRecords: whatever stands in the store where a holder of the duties leaves its records (a node of another
-// version wrote it, or somebody else), the next process reads it and goes on: no panic, and nothing that can't be.
+// FuzzRecords stores arbitrary values, such as those of another version, in place of the duties' records: the next process
+// reads them without a panic and continues with valid state only.
 func FuzzRecords(f *testing.F) {
 	for _, s := range []string{
 		`null`, `{}`, `[]`, `{"llm":null}`, `{"llm":{"hall-a":4}}`, `{"llm":{"hall-a":-4}}`, `{"llm":{"Reading":90,"First":30,"Token":5,"Samples":400}}`,
@@ -30,7 +30,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if !json.Valid(b) {
-			return // the reader's error says so, and is logged
+			return // rejected and logged by the reader
 		}
 		ctx, n := t.Context(), newEraNode(t)
 		service := n.clock.Service()
@@ -61,12 +61,12 @@
 		o.record(orderKey{"llm", "hall-a", false}, 3)
 		o.write(ctx, n.Node, token)
 		if o.minCount(service.Now(), orderKey{"llm", "hall-a", false}) < 0 {
-			t.Error("fewer than none are ordered")
+			t.Error("the lowest ordered count is negative")
 		}
 		var l enginesWriter
 		l.restore(ctx, n.Node)
 		if e := n.pools.Engine("llm"); e.Reading < 0 || e.Token < 0 || math.IsInf(e.Reading, 0) {
-			t.Errorf("an engine that can't be: %+v", e)
+			t.Errorf("invalid engine figures: %+v", e)
 		}
 		var c usageCountsWriter
 		c.restore(ctx, n.Node)
@@ -77,7 +77,7 @@
 		n.restoreQuarantine(ctx)
 		n.restoreRollouts(ctx)
 		if s := n.rollouts.trials["s"].Stage(); s < rollout.StageWaiting || s > rollout.StageRolledBack {
-			t.Errorf("a stage that isn't one: %d", s)
+			t.Errorf("invalid stage: %d", s)
 		}
 		newRunner(n.Node).step(ctx, token)
 	})
--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -18,7 +18,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// rollingTest is a store with an order, and nodes that may hold the duties.
+// rolloutTest is a store with an order, for nodes that may hold the duties.
 type rolloutTest struct {
 	t     *testing.T
 	clock *timer.Manual
@@ -43,7 +43,7 @@
 	return r
 }
 
-// node is one that knows of the order, and of two upstreams of each version.
+// node returns a node that knows the order, and two upstreams of each version.
 func (r *rolloutTest) node(name string) *Node {
 	n := newHolder(r.t, r.kv, r.clock.Service(), name)
 	n.settings, n.peers, n.rollouts = &Settings{Node: name, Hall: "a"}, &peerTable{}, newRollouts()
@@ -65,7 +65,7 @@
 	return n
 }
 
-// assertStage checks what stands in the store, and what a node goes by.
+// assertStage checks the stored status and the node's own stage.
 func (r *rolloutTest) assertStage(n *Node, want rollout.Stage) {
 	r.t.Helper()
 	a, err := r.kv.Range(context.Background(), testStatusKey, "")
@@ -75,7 +75,7 @@
 	assert.Equal(r.t, want, n.rollouts.trials["s"].Stage())
 }
 
-// answers lets so many answers of the target be noted at a node.
+// recordResponses records the given number of responses of the target at a node.
 func recordResponses(n *Node, count int) {
 	for i := 0; i < count; i++ {
 		n.recordResponse("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
@@ -111,12 +111,12 @@
 	r.assertStage(a, rollout.StageCompleted)
 }
 
-// TestSuccessorGoesOn: the stage and the time since the order stand in the store.
+// TestSuccessorResumesRollout checks that a successor continues with the stored stage and start time of the order.
 func TestSuccessorResumesRollout(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
 	newRunner(a).step(t.Context(), acquireLease(t, a))
-	r.clock.Advance(16 * time.Second) // a's lease is over, and the first step's last moment nearly
+	r.clock.Advance(16 * time.Second) // a's lease has expired, and the first stage is close to its time limit
 	b := r.node("b")
 	roll := newRunner(b)
 	token := acquireLease(t, b)
@@ -128,8 +128,8 @@
 	r.assertStage(b, rollout.StageRolledBack)
 }
 
-// TestDeposedHolderRaisesNothing: whoever has lost the lease without noticing writes nothing,
-// and goes to no stage.
+// TestDeposedHolderWritesNothing checks that a holder that lost the lease without noticing writes nothing and advances to
+// no stage.
 func TestDeposedHolderWritesNothing(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
@@ -144,7 +144,7 @@
 	assert.Equal(t, rollout.StageWaiting, a.rollouts.trials["s"].Stage())
 }
 
-// TestStageNeedsTheStore: what the store hasn't taken isn't told to anybody.
+// TestStageIsAnnouncedAfterWrite checks that a stage isn't announced before the store has accepted it.
 func TestStageIsAnnouncedAfterWrite(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
@@ -161,7 +161,7 @@
 	r.assertStage(a, rollout.StageTrial)
 }
 
-// TestOrderTakenBack: nothing more goes to a target whose order is gone.
+// TestWithdrawnOrder checks that a target whose order was withdrawn gets no more requests.
 func TestWithdrawnOrder(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
@@ -175,14 +175,13 @@
 	}
 }
 
-// TestNewerOrderTakesThePlace: the version of an order that another one follows takes nothing
-// more.
+// TestNewerOrderReplacesOlder checks that the target of a superseded order gets no more requests.
 func TestNewerOrderReplacesOlder(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
 	a.mu.Lock()
 	a.startTrial(rollout.Order{Service: "s", Target: "v3", Revision: r.order.Revision + 1}, "test")
-	a.startTrial(r.order, "an old word")
+	a.startTrial(r.order, "an old update")
 	a.mu.Unlock()
 	assert.Equal(t, "v3", a.rollouts.trials["s"].Order().Target)
 	assert.False(t, a.countsAsCapacity(pool.Entry{Service: "s", Version: "v2"}))
@@ -192,11 +191,9 @@
 	}
 }
 
-// TestWhatStandsInTheStore is what operators and successors read.
-// TestStageOfAnEraBefore: what stands in the store of an order was written before the store came back from a
-// copy; the order has come again since, by a revision of the next era. Each reader takes the stage for the
-// order's: a process that begins, and a holder that takes over. A stage of another order, or of another target,
-// isn't.
+// TestStageOfPreviousEra: the stored stage of an order was written before the store returned from a copy; the order has
+// been written again since, with a revision of the new era. Both readers, a starting process and a new holder, apply the
+// stage to the order, but not a stage of another order or of another target.
 func TestStageOfPreviousEra(t *testing.T) {
 	revision := func(e, n int64) int64 {
 		v, err := era.Revision(e, n)
@@ -204,38 +201,38 @@
 		return v
 	}
 	for _, v := range []struct {
-		name   string
-		stands rolloutStageValue
-		taken  bool
+		name    string
+		stored  rolloutStageValue
+		applied bool
 	}{
-		{"of the era before", rolloutStageValue{Order: revision(1, 9), Target: "v2"}, true},
+		{"of the previous era", rolloutStageValue{Order: revision(1, 9), Target: "v2"}, true},
 		{"of this order", rolloutStageValue{Order: revision(2, 5), Target: "v2"}, true},
 		{"of another order in this era", rolloutStageValue{Order: revision(2, 4), Target: "v2"}, false},
 		{"of another target", rolloutStageValue{Order: revision(1, 9), Target: "v3"}, false},
 	} {
-		v.stands.Stage = rollout.StageCompleted
+		v.stored.Stage = rollout.StageCompleted
 		newNode := func(t *testing.T) *Node {
 			r := newRolloutTest(t)
 			r.order.Revision = revision(2, 5)
-			b, err := json.Marshal(v.stands)
+			b, err := json.Marshal(v.stored)
 			require.NoError(t, err)
 			_, err = r.kv.Txn(t.Context(), store.Put(rolloutStagePrefix+"s", b))
 			require.NoError(t, err)
 			return r.node("a")
 		}
-		t.Run(v.name+", a process that begins", func(t *testing.T) {
+		t.Run(v.name+", starting process", func(t *testing.T) {
 			n := newNode(t)
 			n.initialized = make(chan struct{})
 			close(n.initialized)
 			n.restoreRollouts(t.Context())
-			assert.Equal(t, v.taken, n.rollouts.trials["s"].Stage() == rollout.StageCompleted)
+			assert.Equal(t, v.applied, n.rollouts.trials["s"].Stage() == rollout.StageCompleted)
 		})
-		t.Run(v.name+", a holder", func(t *testing.T) {
+		t.Run(v.name+", new holder", func(t *testing.T) {
 			n := newNode(t)
 			state, err := newRunner(n).read(t.Context(), n.rollouts.trials["s"].Order())
 			require.NoError(t, err)
-			assert.Equal(t, v.taken, state.state.Stage == rollout.StageCompleted)
-			assert.Equal(t, v.taken, n.rollouts.trials["s"].Stage() == rollout.StageCompleted, "and lets others know")
+			assert.Equal(t, v.applied, state.state.Stage == rollout.StageCompleted)
+			assert.Equal(t, v.applied, n.rollouts.trials["s"].Stage() == rollout.StageCompleted, "and announces it")
 		})
 	}
 }
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -20,7 +20,7 @@
 
 var crashingFingerprint = quarantine.PrintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
 
-// suspiciousNode is a node that runs no duty, and what it knows.
+// newTestNode returns a node that runs no background task.
 func newTestNode(name string, clock *timer.Manual) *Node {
 	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 }
@@ -34,12 +34,11 @@
 
 func (n *Node) isQuarantined() bool { return n.quarantine.Wait(n.clock.Now(), crashingFingerprint) > 0 }
 
-// TestSuspicionsGoWithEveryMessage: what holds a request back is told by each kind of message
-// between nodes, both ways.
+// TestSuspicionsInEveryMessage checks that each kind of message between nodes carries crash evidence both ways.
 func TestSuspicionsInEveryMessage(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	pair := func() (*Node, *Node) { return newTestNode("x", clock), newTestNode("y", clock) }
-	ways := map[string]func(t *testing.T, asker, answerer *Node){
+	messages := map[string]func(t *testing.T, caller, callee *Node){
 		"report": func(t *testing.T, x, y *Node) {
 			a, err := (&edgeService{y}).Report(t.Context(), connect.NewRequest(&wire.ReportRequest{Report: x.buildReport(pairWindows)}))
 			require.NoError(t, err)
@@ -56,38 +55,38 @@
 			x.applyGroup(a.Msg.Group)
 		},
 	}
-	for name, swap := range ways {
+	for name, swap := range messages {
 		t.Run(name, func(t *testing.T) {
 			x, y := pair()
 			x.observeCrashes(quarantine.Proof)
 			swap(t, x, y)
-			assert.True(t, y.isQuarantined(), "asked")
+			assert.True(t, y.isQuarantined(), "request")
 			x, y = pair()
 			y.observeCrashes(quarantine.Proof)
 			swap(t, x, y)
-			assert.True(t, x.isQuarantined(), "answered")
+			assert.True(t, x.isQuarantined(), "response")
 		})
 	}
-	t.Run("news is told on", func(t *testing.T) {
+	t.Run("new evidence is propagated", func(t *testing.T) {
 		x, y := pair()
 		z := newTestNode("z", clock)
 		x.observeCrashes(1)
-		ways["swap"](t, x, y)
-		ways["gather"](t, z, y)
+		messages["swap"](t, x, y)
+		messages["gather"](t, z, y)
 		assert.Equal(t, 1, z.quarantine.Ends(crashingFingerprint))
 	})
 }
 
-// TestSuspicionsOfAnotherVersion: a node of another version may tell prints of another length.
+// TestSuspicionsOfAnotherVersion checks that fingerprints of another length, as another version may send, are ignored.
 func TestSuspicionsOfAnotherVersion(t *testing.T) {
 	m := &wire.Suspicions{Ends: []*wire.End{{Print: []byte("short"), Upstream: "u"}}, Answers: []*wire.Answered{{Print: nil}}}
 	assert.True(t, quarantine.WordsFromWire(time.Unix(1000, 0), m).Empty())
 }
 
-// TestTheWayToAHall: one node of a hall that listens shows that the way there is open.
+// TestReachesHall checks that a hall is reachable if one of its nodes listens.
 func TestReachesHall(t *testing.T) {
 	n := newTestNode("x", timer.NewManual(time.Unix(1000, 0)))
-	know := func(name string, listens bool) {
+	addNode := func(name string, listens bool) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		n.peers.getOrAdd(name, l.Addr().String()).hall = "b"
@@ -97,14 +96,14 @@
 		}
 		t.Cleanup(func() { _ = l.Close() })
 	}
-	assert.True(t, n.reachesHall(t.Context(), "b"), "nothing is known of it")
-	know("ended", false)
+	assert.True(t, n.reachesHall(t.Context(), "b"), "no node of the hall is known")
+	addNode("ended", false)
 	assert.False(t, n.reachesHall(t.Context(), "b"))
-	know("listening", true)
+	addNode("listening", true)
 	assert.True(t, n.reachesHall(t.Context(), "b"))
 }
 
-// TestSuspensionIsTold: one line for each suspension of the VM.
+// TestSuspensionIsLoggedOnce checks for one log line per suspension of the VM.
 func TestSuspensionIsLoggedOnce(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	n := newTestNode("x", clock)
--- a/internal/edge/watch_test.go
+++ b/internal/edge/watch_test.go
@@ -13,15 +13,14 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestFollowedStoreWasNotAway: a node that the store turned away and that followed others
-// meanwhile believes what the store says as soon as it watches again. What goes from the list
-// then hasn't lapsed in an outage.
+// TestFollowingClearsStoreOutage: a node whose calls the store rejected has followed watchers meanwhile. When it watches
+// again, it has to remove entries that are gone from the store at once: they haven't lapsed in an outage.
 func TestFollowingClearsStoreOutage(t *testing.T) {
 	for _, v := range []struct {
-		name     string
-		followed bool
-		left     int
-	}{{"it followed others", true, 0}, {"it had no news meanwhile", false, 1}} {
+		name      string
+		followed  bool
+		remaining int
+	}{{"it followed watchers", true, 0}, {"it got no updates meanwhile", false, 1}} {
 		t.Run(v.name, func(t *testing.T) {
 			c := timer.NewManual(time.Unix(1000, 0))
 			n := &Node{settings: &Settings{Node: "a"}, clock: c.Service(), log: zap.NewNop(), pools: pool.New(c.Service(), "a", "h"), changes: newChangeFeed(), lines: forward.NewLines(c.Service())}
@@ -37,7 +36,7 @@
 				n.markStoreAvailable()
 			}
 			n.listFollower.applySnapshot(store.RangeResult{Revision: 2})
-			assert.Len(t, n.pools.Items(), v.left)
+			assert.Len(t, n.pools.Items(), v.remaining)
 		})
 	}
 }
