--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -58,7 +58,8 @@
 	return acquireLease(t, v.Node)
 }
 
-// TestOrderFloorRewrittenAfterStoreRestore checks that counts ordered since the copy are written to the store again.
+// TestOrderFloorRewrittenAfterStoreRestore checks that counts ordered since the copy are written to the store
+// again.
 func TestOrderFloorRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
 	onDemand := orderKey{"llm", "hall-a", false}
@@ -75,7 +76,8 @@
 	assert.Equal(t, 4, next.minCount(n.clock.Service().Now(), onDemand))
 }
 
-// TestQuarantineRewrittenAfterStoreRestore checks that crashes recorded since the copy are written to the store again.
+// TestQuarantineRewrittenAfterStoreRestore checks that crashes recorded since the copy are written to the
+// store again.
 func TestQuarantineRewrittenAfterStoreRestore(t *testing.T) {
 	ctx, n := t.Context(), newEraNode(t)
 	token := acquireLease(t, n.Node)
@@ -93,8 +95,8 @@
 	assert.Len(t, n.keys.Range(quarantineRecord.key, "").Pairs, 1)
 }
 
-// TestEnginesRewrittenAfterStoreRestore restores the store to a copy whose engine figures are missing or older than those
-// of this process. They must not replace the current figures, which are written to the store again.
+// TestEnginesRewrittenAfterStoreRestore restores the store to a copy whose engine figures are missing or older
+// than those of this process. They must not replace the current figures, which are written to the store again.
 func TestEnginesRewrittenAfterStoreRestore(t *testing.T) {
 	old, now := capacity.Engine{Reading: 30, First: 90, Token: 20}, capacity.Engine{Reading: 90, First: 30, Token: 5}
 	for name, copied := range map[string]map[string]capacity.Engine{
@@ -122,9 +124,9 @@
 	}
 }
 
-// TestWatchesRestartOnEraRise checks that a rise ends the watches in progress, whichever node reports it. A node that
-// learns of it from a peer has no failing call at the store, and would read again only at the end of the watch's wait, up
-// to 6 s later.
+// TestWatchesRestartOnEraRise checks that a rise ends the watches in progress, whichever node reports it. A
+// node that learns of it from a peer has no failing call at the store, and would read again only at the end of
+// the watch's wait, up to 6 s later.
 func TestWatchesRestartOnEraRise(t *testing.T) {
 	n := newEraNode(t).Node
 	n.listFollower, n.catalogFollower = &follower{n: n}, &follower{n: n}
@@ -139,8 +141,9 @@
 	assert.ErrorIs(t, context.Cause(catalog), errBehind)
 }
 
-// TestDoubtfulWindows checks that the first holder in an era doubts the windows that ended before its term, also if its
-// process started after the store's return; the next holder in that era uses the first one's record.
+// TestDoubtfulWindows checks that the first holder in an era doubts the windows that ended before its term,
+// also if its process started after the store's return; the next holder in that era uses the first one's
+// record.
 func TestDoubtfulWindows(t *testing.T) {
 	ctx := t.Context()
 	startTerm := func(n *eraNode, token int64) eraTerm {
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -13,9 +13,9 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file shares the rate limits that upstreams set for all nodes together (package limit). They are part of every
-// report, digest and swap, like the crash evidence: a node keeps to the limit of an overloaded upstream even if it has
-// received no response from that upstream itself.
+// This file shares the rate limits that upstreams set for all nodes together (package limit). They are part of
+// every report, digest and swap, like the crash evidence: a node keeps to the limit of an overloaded upstream
+// even if it has received no response from that upstream itself.
 
 // mergeLimits merges the limits that another node knows.
 func (n *Node) mergeLimits(m []*wire.Limited, source string) {
@@ -36,9 +36,10 @@
 	n.log.Info("limit_named", append(f, zap.Float64("rate", w.Rate))...)
 }
 
-// updateLimitSenders sets the nodes that share limits: those that are responsive or registered, and not leaving. Where
-// relays place the requests at engines, only the relays share an engine's limit. A process that doesn't know the other
-// nodes yet has no share: after a loss of all processes, each would use the whole rate. The node's lock is held.
+// updateLimitSenders sets the nodes that share limits: those that are responsive or registered, and not
+// leaving. Where relays place the requests at engines, only the relays share an engine's limit. A process that
+// doesn't know the other nodes yet has no share: after a loss of all processes, each would use the whole rate.
+// The node's lock is held.
 func (n *Node) updateLimitSenders(now time.Time) {
 	var nodes, placers []string
 	if !n.knowsPeers(now) {
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -14,9 +14,9 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestStartingProcessesHaveNoLimitShare: all processes of a fleet start at once while the store is unavailable. Each
-// considered itself the only one and used the whole rate that an upstream had set for all: in the model, 70 nodes sent
-// 113 requests in 4 s where 29 are allowed.
+// TestStartingProcessesHaveNoLimitShare: all processes of a fleet start at once while the store is
+// unavailable. Each considered itself the only one and used the whole rate that an upstream had set for all:
+// in the model, 70 nodes sent 113 requests in 4 s where 29 are allowed.
 func TestStartingProcessesHaveNoLimitShare(t *testing.T) {
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	start := func() (*Node, *timer.Manual) {
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// renewMember renews the lease of this node's key, or writes the key under a new lease. It returns the lease, or
-// 0 if there is none.
+// renewMember renews the lease of this node's key, or writes the key under a new lease. It returns the lease,
+// or 0 if there is none.
 func (n *Node) renewMember(ctx context.Context, id int64) int64 {
 	if id != 0 {
 		_, err := n.kv.KeepAlive(ctx, id)
--- a/internal/edge/members_test.go
+++ b/internal/edge/members_test.go
@@ -16,7 +16,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// newHallNode returns a node with the given number of peers, all in its hall, responsive and connected to the store.
+// newHallNode returns a node with the given number of peers, all in its hall, responsive and connected to the
+// store.
 func newHallNode(t *testing.T, others int) (*Node, *timer.Manual, *observer.ObservedLogs) {
 	t.Helper()
 	c := timer.NewManual(time.Unix(1000, 0))
@@ -30,8 +31,8 @@
 	return n, c, logs
 }
 
-// TestWatchersReachTheStore checks that a node whose calls the store rejects doesn't watch for its hall, unless the store
-// rejects all nodes.
+// TestWatchersReachTheStore checks that a node whose calls the store rejects doesn't watch for its hall,
+// unless the store rejects all nodes.
 func TestWatchersReachTheStore(t *testing.T) {
 	n, _, _ := newHallNode(t, 9)
 	before := n.watchers()
@@ -46,7 +47,8 @@
 	assert.Len(t, n.watchers(), watchersPerHall, "if the store rejects all nodes, the watchers still retry")
 }
 
-// TestFailedRelaysAreNotCalled checks that a failed relay isn't called until it reports again or some time has passed.
+// TestFailedRelaysAreNotCalled checks that a failed relay isn't called until it reports again or some time has
+// passed.
 func TestFailedRelaysAreNotCalled(t *testing.T) {
 	n, c, _ := newHallNode(t, 20)
 	first := relay.Relays(n.hallNodes(n.clock.Now(), "a"))[0]
@@ -83,8 +85,8 @@
 	return r
 }
 
-// TestPeerLogIsAggregatedInLargeFleets checks that in a large fleet, a node that doesn't watch the store for its hall logs
-// one line per round about its peers, whatever the number of events.
+// TestPeerLogIsAggregatedInLargeFleets checks that in a large fleet, a node that doesn't watch the store for
+// its hall logs one line per round about its peers, whatever the number of events.
 func TestPeerLogIsAggregatedInLargeFleets(t *testing.T) {
 	n, _, logs := newHallNode(t, 94)
 	for _, p := range n.peers.peers {
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -31,8 +31,8 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkPeerConnections calls up to 300 peers in turn, as pairs do, and reports the memory that each of them takes
-// afterwards, both ends of a connection together.
+// BenchmarkPeerConnections calls up to 300 peers in turn, as pairs do, and reports the memory that each of
+// them takes afterwards, both ends of a connection together.
 func BenchmarkPeerConnections(b *testing.B) {
 	for _, nodes := range []int{70, 300} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -69,7 +69,8 @@
 	EntryPrefix   string
 	DecodeCatalog func(b []byte) (*catalog.Catalog, error)
 	DecodeEntry   func(key string, value []byte) (pool.Entry, error)
-	// FetchCachedParts asks the engine at an address which prompt parts it has cached; nil if no engine can say.
+	// FetchCachedParts asks the engine at an address which prompt parts it has cached; nil if no engine can
+	// say.
 	FetchCachedParts func(ctx context.Context, address string) ([]call.Part, call.Answer, error)
 }
 
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -19,8 +19,8 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// TestFailedCallKeepsLimit: a node fails to reach a limited engine when it asks for cached parts. The missing response
-// counted as a response without a limit, which lifted the limit for all nodes.
+// TestFailedCallKeepsLimit: a node fails to reach a limited engine when it asks for cached parts. The missing
+// response counted as a response without a limit, which lifted the limit for all nodes.
 func TestFailedCallKeepsLimit(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{
--- a/internal/edge/order_floor.go
+++ b/internal/edge/order_floor.go
@@ -52,7 +52,8 @@
 	return r
 }
 
-// orderFloor tracks the ordered counts for the holder of the duties, and the lower bound from the previous holder.
+// orderFloor tracks the ordered counts for the holder of the duties, and the lower bound from the previous
+// holder.
 type orderFloor struct {
 	counts    orderedCounts // ordered or restored in this term
 	isWritten bool
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -44,9 +44,9 @@
 	return r
 }
 
-// TestUnreachedUpstreamsAreNoCapacity: while the store is unavailable, terminated upstreams stay in the list. Upstreams
-// that several nodes can't reach count as reclaimed, so that a wave is noticed in the first hall that it affects; a
-// partitioned hall keeps its upstreams.
+// TestUnreachedUpstreamsAreNoCapacity: while the store is unavailable, terminated upstreams stay in the list.
+// Upstreams that several nodes can't reach count as reclaimed, so that a wave is noticed in the first hall
+// that it affects; a partitioned hall keeps its upstreams.
 func TestUnreachedUpstreamsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	o := newListedOrderer(clock.Service())
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestUntriedVersionsAreNoCapacity checks that upstreams of a roll-out's target count only from its end on, when those of
-// the previous version are gone.
+// TestUntriedVersionsAreNoCapacity checks that upstreams of a roll-out's target count only from its end on,
+// when those of the previous version are gone.
 func TestUntriedVersionsAreNoCapacity(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	o := newListedOrderer(clock.Service())
--- a/internal/edge/place.go
+++ b/internal/edge/place.go
@@ -57,8 +57,8 @@
 	return a.Msg.Upstream
 }
 
-// Place chooses an upstream for a request of another node. A call that has exceeded its node's time-out is rejected:
-// its placement would use the upstream's rate, and count as load, without a request being sent.
+// Place chooses an upstream for a request of another node. A call that has exceeded its node's time-out is
+// rejected: its placement would use the upstream's rate, and count as load, without a request being sent.
 func (s *edgeService) Place(ctx context.Context, r *connect.Request[wire.PlaceRequest]) (*connect.Response[wire.PlaceResponse], error) {
 	m := r.Msg
 	if ctx.Err() != nil {
--- a/internal/edge/place_test.go
+++ b/internal/edge/place_test.go
@@ -15,8 +15,8 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// TestLatePlaceRequestIsRejected checks that a request whose node has stopped waiting isn't placed, and uses none of the
-// rate that an upstream allows to all nodes together.
+// TestLatePlaceRequestIsRejected checks that a request whose node has stopped waiting isn't placed, and uses
+// none of the rate that an upstream allows to all nodes together.
 func TestLatePlaceRequestIsRejected(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1_700_000_000, 0))
 	p := pool.New(clock.Service(), "relay", "h")
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -55,15 +55,15 @@
 			x.applyGroup(a.Msg.Group)
 		},
 	}
-	for name, swap := range messages {
+	for name, exchange := range messages {
 		t.Run(name, func(t *testing.T) {
 			x, y := pair()
 			x.observeCrashes(quarantine.Proof)
-			swap(t, x, y)
+			exchange(t, x, y)
 			assert.True(t, y.isQuarantined(), "request")
 			x, y = pair()
 			y.observeCrashes(quarantine.Proof)
-			swap(t, x, y)
+			exchange(t, x, y)
 			assert.True(t, x.isQuarantined(), "response")
 		})
 	}
@@ -77,7 +77,8 @@
 	})
 }
 
-// TestSuspicionsOfAnotherVersion checks that fingerprints of another length, as another version may send, are ignored.
+// TestSuspicionsOfAnotherVersion checks that fingerprints of another length, as another version may send, are
+// ignored.
 func TestSuspicionsOfAnotherVersion(t *testing.T) {
 	m := &wire.Suspicions{Ends: []*wire.End{{Print: []byte("short"), Upstream: "u"}}, Answers: []*wire.Answered{{Print: nil}}}
 	assert.True(t, quarantine.WordsFromWire(time.Unix(1000, 0), m).Empty())
--- a/internal/edge/ready_test.go
+++ b/internal/edge/ready_test.go
@@ -23,8 +23,8 @@
 	return nil, errors.New("accept: too many open files")
 }
 
-// TestNotReadyWhileAcceptFails: the balancer checks a separate listener, and would continue to send callers to a node that
-// can't accept their connections.
+// TestNotReadyWhileAcceptFails: the balancer checks a separate listener, and would continue to send callers to
+// a node that can't accept their connections.
 func TestNotReadyWhileAcceptFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/edge/records_test.go
+++ b/internal/edge/records_test.go
@@ -16,8 +16,8 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// FuzzRecords stores arbitrary values, such as those of another version, in place of the duties' records: the next process
-// reads them without a panic and continues with valid state only.
+// FuzzRecords stores arbitrary values, such as those of another version, in place of the duties' records: the
+// next process reads them without a panic and continues with valid state only.
 func FuzzRecords(f *testing.F) {
 	for _, s := range []string{
 		`null`, `{}`, `[]`, `{"llm":null}`, `{"llm":{"hall-a":4}}`, `{"llm":{"hall-a":-4}}`, `{"llm":{"Reading":90,"First":30,"Token":5,"Samples":400}}`,
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -114,8 +114,8 @@
 	return now.Sub(p.lastSeen) <= pair.Silent(n.peers.size()) || now.Sub(p.lastListed) <= 2*registryReadInterval
 }
 
-// relaysOfAllHalls returns some of the relays of all halls as this node sees them: those that a function of package
-// relay picks from a hall's ordered nodes. The node's lock is held.
+// relaysOfAllHalls returns some of the relays of all halls as this node sees them: those that a function of
+// package relay picks from a hall's ordered nodes. The node's lock is held.
 func (n *Node) relaysOfAllHalls(now time.Time, some func(ordered []string) []string) []string {
 	list := some(n.hallNodes(now, n.settings.Hall))
 	for hall := range n.settings.Halls {
--- a/internal/edge/rollout_runner.go
+++ b/internal/edge/rollout_runner.go
@@ -109,8 +109,8 @@
 	return v, nil
 }
 
-// restoreFromTrial applies the progress that this node knows of where the store has lost it: an exposure doesn't
-// start again, and a version that was rolled back isn't tried again.
+// restoreFromTrial applies the progress that this node knows of where the store has lost it: an exposure
+// doesn't start again, and a version that was rolled back isn't tried again.
 func (r *runner) restoreFromTrial(v *rolloutState) {
 	n := r.n
 	n.mu.Lock()
--- a/internal/edge/rollout_runner_test.go
+++ b/internal/edge/rollout_runner_test.go
@@ -111,7 +111,8 @@
 	r.assertStage(a, rollout.StageCompleted)
 }
 
-// TestSuccessorResumesRollout checks that a successor continues with the stored stage and start time of the order.
+// TestSuccessorResumesRollout checks that a successor continues with the stored stage and start time of the
+// order.
 func TestSuccessorResumesRollout(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
@@ -128,8 +129,8 @@
 	r.assertStage(b, rollout.StageRolledBack)
 }
 
-// TestDeposedHolderWritesNothing checks that a holder that lost the lease without noticing writes nothing and advances to
-// no stage.
+// TestDeposedHolderWritesNothing checks that a holder that lost the lease without noticing writes nothing and
+// advances to no stage.
 func TestDeposedHolderWritesNothing(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
@@ -191,9 +192,9 @@
 	}
 }
 
-// TestStageOfPreviousEra: the stored stage of an order was written before the store returned from a copy; the order has
-// been written again since, with a revision of the new era. Both readers, a starting process and a new holder, apply the
-// stage to the order, but not a stage of another order or of another target.
+// TestStageOfPreviousEra: the stored stage of an order was written before the store returned from a copy; the
+// order has been written again since, with a revision of the new era. Both readers, a starting process and a
+// new holder, apply the stage to the order, but not a stage of another order or of another target.
 func TestStageOfPreviousEra(t *testing.T) {
 	revision := func(e, n int64) int64 {
 		v, err := era.Revision(e, n)
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -47,8 +47,8 @@
 	Front, Readiness, Peers, Metrics net.Listener // Metrics may be nil
 }
 
-// Listen opens the listeners. The peers' listener uses the address that is advertised to other nodes, unless peers
-// gives another one. metricsPort 0 disables metrics.
+// Listen opens the listeners. The peers' listener uses the address that is advertised to other nodes, unless
+// peers gives another one. metricsPort 0 disables metrics.
 func Listen(s *Settings, peers string, metricsPort int) (*Listeners, error) {
 	peers = cmp.Or(peers, s.Peers)
 	var l Listeners
--- a/internal/edge/usage_counts_test.go
+++ b/internal/edge/usage_counts_test.go
@@ -15,16 +15,17 @@
 )
 
 // newCounter returns a holder of the duties that counts usage.
-func newCounter(t *testing.T, kv store.KV, clock *timer.Service, name, lifetime string) *Node {
+func newCounter(t *testing.T, kv store.KV, clock *timer.Service, name, incarnation string) *Node {
 	t.Helper()
 	n := newHolder(t, kv, clock, name)
 	n.settings = &Settings{Node: name}
-	n.options.Incarnation = lifetime
-	n.usage = usage.New(name, lifetime, 5*time.Second)
+	n.options.Incarnation = incarnation
+	n.usage = usage.New(name, incarnation, 5*time.Second)
 	return n
 }
 
-// TestUsageCountsSurviveLossOfAllProcesses loses all processes after a window has ended and before it is settled.
+// TestUsageCountsSurviveLossOfAllProcesses loses all processes after a window has ended and before it is
+// settled.
 func TestUsageCountsSurviveLossOfAllProcesses(t *testing.T) {
 	ctx := context.Background()
 	clock := timer.NewManual(time.Unix(1000, 0))
--- a/internal/edge/watch_test.go
+++ b/internal/edge/watch_test.go
@@ -13,8 +13,9 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestFollowingClearsStoreOutage: a node whose calls the store rejected has followed watchers meanwhile. When it watches
-// again, it has to remove entries that are gone from the store at once: they haven't lapsed in an outage.
+// TestFollowingClearsStoreOutage: a node whose calls the store rejected has followed watchers meanwhile. When
+// it watches again, it has to remove entries that are gone from the store at once: they haven't lapsed in an
+// outage.
 func TestFollowingClearsStoreOutage(t *testing.T) {
 	for _, v := range []struct {
 		name      string
