--- a/internal/edge/rollout_runner_test.go
+++ b/internal/edge/rollout_runner_test.go
@@ -238,6 +238,7 @@
 	}
 }
 
+// TestStoredStageValue checks the stored value that a successor reads.
 func TestStoredStageValue(t *testing.T) {
 	r := newRolloutTest(t)
 	a := r.node("a")
