--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -176,7 +176,7 @@
 		}
 		again := p.again(tried, retry.Attempt{
 			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
-			Left: c.Deadline.Sub(p.d.o.Clock.Now()),
+			TimeLeft: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
 			return givenUp(l.giveUp(), err)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -97,8 +97,8 @@
 	list      []member.Seen
 	cands     []route.Candidate
 	moving    map[string]*move // streams, by request id
-	rests     *retry.Rests     // that upstreams have asked of this node
-	turns     retry.Turns      // of callers that are turned away while all rest
+	rests     *retry.Cooldowns     // that upstreams have asked of this node
+	turns     retry.ReturnSchedule      // of callers that are turned away while all rest
 	spent     money
 	perToken  float64 // seconds, smoothed over all upstreams
 }
@@ -147,7 +147,7 @@
 			flights:   make(map[string]*flight),
 			waiting:   make(map[string]chan bool),
 			moving:    make(map[string]*move),
-			rests:     retry.NewRests(),
+			rests:     retry.NewCooldowns(),
 		}
 		d.pools[name] = p
 	}
@@ -286,10 +286,10 @@
 	p.refreshLocked()
 	now := p.d.now()
 	at := p.d.o.Clock.Now()
-	fresh := tried.bound.Next() == retry.SearchFresh
+	fresh := tried.bound.Next() == retry.ScopeReachable
 	for i := range p.cands {
 		c, f := &p.cands[i], &p.list[i]
-		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Left(at, retry.Lifetime{ID: c.ID}) > 0
+		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Wait(at, retry.Incarnation{ID: c.ID}) > 0
 		c.LoadAge = at.Sub(f.At)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
 		if v := p.flights[c.ID]; v != nil {
@@ -380,11 +380,11 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.rests.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
+	if d := upstream.RestAsked(err); d > 0 && p.rests.Start(p.d.o.Clock.Now(), retry.Incarnation{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
-		p.outliers.Unclear(p.d.now(), id)
+		p.outliers.Inconclusive(p.d.now(), id)
 		return
 	}
 	if p.outliers.Failure(p.d.now(), id, len(p.list)) {
--- a/internal/edge/cached.go
+++ b/internal/edge/cached.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, e := range n.assignedEngines() {
-		if !n.pools.Ask(e) {
+		if !n.pools.AllowQuery(e) {
 			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "in cooldown, or its rate limit is used up"))
 			continue
 		}
@@ -50,7 +50,7 @@
 			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", response.Rest), zap.String("cause", err.Error()))
 			continue
 		}
-		n.pools.Held(e.ID, parts)
+		n.pools.ApplyCachedParts(e.ID, parts)
 		n.log.Info("cached_found", zap.String("upstream", e.ID), zap.Int("parts", len(parts)))
 	}
 }
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -110,7 +110,7 @@
 			v.restore(ctx, n.Node)
 			v.write(ctx, n.Node, token, copied)
 			c := n.keys.Copy()
-			n.pools.Recall("llm", now)
+			n.pools.RestoreEngine("llm", now)
 			v.write(ctx, n.Node, token, n.pools.Learned())
 			token = n.restoreStore(t, c)
 			v.restore(ctx, n.Node)
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -19,7 +19,7 @@
 
 // mergeLimits merges the limits that another node knows.
 func (n *Node) mergeLimits(m []*wire.Limited, source string) {
-	for _, w := range n.pools.TakeLimits(message.LimitsFromWire(n.clock.Now(), m)) {
+	for _, w := range n.pools.ApplyLimits(message.LimitsFromWire(n.clock.Now(), m)) {
 		n.logLimit(source, w)
 	}
 }
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -23,14 +23,14 @@
 		c := timer.NewManual(time.Unix(1_700_000_000, 0))
 		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 		n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
-		n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 40}, n.start)
+		n.pools.ObserveLimit(e, call.Limit{Word: call.LimitNamed, Rate: 40}, n.start)
 		return n, c
 	}
 	// sends reports whether the node sends a request to the upstream within some rounds.
 	sends := func(n *Node, c *timer.Manual, rounds int) bool {
 		for range rounds {
 			n.updateLimitSenders(c.Service().Now())
-			if n.pools.Ask(e) {
+			if n.pools.AllowQuery(e) {
 				return true
 			}
 			c.Advance(pair.Round)
@@ -44,9 +44,9 @@
 	})
 	t.Run("before the first round", func(t *testing.T) {
 		n, c := start()
-		assert.False(t, n.pools.Ask(e))
+		assert.False(t, n.pools.AllowQuery(e))
 		c.Advance(pair.Round - time.Millisecond)
-		assert.False(t, n.pools.Ask(e))
+		assert.False(t, n.pools.AllowQuery(e))
 	})
 	t.Run("the registry has been read", func(t *testing.T) {
 		n, c := start()
--- a/internal/edge/observe_test.go
+++ b/internal/edge/observe_test.go
@@ -31,7 +31,7 @@
 	})
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
-	n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, n.start)
+	n.pools.ObserveLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, n.start)
 	c.Advance(time.Second)
 	sent := c.Service().Now()
 	_, response, _ := n.options.FetchCachedParts(t.Context(), e.Address)
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -36,10 +36,10 @@
 }
 
 // unreachedUpstreams returns reports of several other nodes of the hall that couldn't reach the upstreams.
-func unreachedUpstreams(ids ...string) pool.Reach {
-	var r pool.Reach
+func unreachedUpstreams(ids ...string) pool.Reachability {
+	var r pool.Reachability
 	for _, id := range ids {
-		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: id, Nodes: 3, Age: 50 * time.Millisecond})
+		r.Unreachable = append(r.Unreachable, pool.UnreachableUpstream{Upstream: id, Nodes: 3, Age: 50 * time.Millisecond})
 	}
 	return r
 }
@@ -52,15 +52,15 @@
 	o := newListedOrderer(clock.Service())
 	assert.Equal(t, 2, hallStateOf(o, "a").Reclaimable)
 	r := unreachedUpstreams("a1", "a2")
-	r.Answered = map[string]time.Duration{"a": 100 * time.Millisecond}
-	o.n.pools.TakeReach(r)
+	r.LastResponse = map[string]time.Duration{"a": 100 * time.Millisecond}
+	o.n.pools.ApplyReachability(r)
 	clock.Advance(2 * time.Second)
 	assert.Equal(t, 0, hallStateOf(o, "a").Reclaimable)
 	assert.Equal(t, 2, hallStateOf(o, "a").Leaving)
 	assert.Equal(t, 2, hallStateOf(o, "b").Reclaimable)
 	t.Run("upstreams of a partitioned hall still count", func(t *testing.T) {
 		o := newListedOrderer(clock.Service())
-		o.n.pools.TakeReach(unreachedUpstreams("b1", "b2"))
+		o.n.pools.ApplyReachability(unreachedUpstreams("b1", "b2"))
 		clock.Advance(2 * time.Second)
 		assert.Equal(t, 2, hallStateOf(o, "b").Reclaimable)
 	})
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -53,7 +53,7 @@
 	listRevision   int64                  // of its upstream list
 	work           map[string]capacity.Work
 	trials         []rollout.Word
-	reach          pool.Reach
+	reach          pool.Reachability
 	relay          relayState
 }
 
@@ -184,11 +184,11 @@
 
 // hallReach combines the reports of this hall's other nodes on what they couldn't reach. The node's lock is
 // held.
-func (n *Node) hallReach(now time.Time) pool.Reach {
-	var sum pool.Reach
+func (n *Node) hallReach(now time.Time) pool.Reachability {
+	var sum pool.Reachability
 	for _, p := range n.peers.peers {
 		if p.hall == n.settings.Hall {
-			sum = sum.Plus(p.reach, now.Sub(p.lastSeen))
+			sum = sum.Merge(p.reach, now.Sub(p.lastSeen))
 		}
 	}
 	return sum
@@ -241,13 +241,13 @@
 func (n *Node) buildReport(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
-		Node: n.settings.Node, Lifetime: n.options.Incarnation, Address: n.settings.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
+		Node: n.settings.Node, Lifetime: n.options.Incarnation, Address: n.settings.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.LastChange(),
 		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.settings.Hall, Cores: n.settings.Cores,
 	}
 	if h := n.catalog.Load(); h != nil {
 		r.CatalogVersion = h.catalog.Version()
 	}
-	r.Reach = message.ReachToWire(n.pools.Reach())
+	r.Reach = message.ReachToWire(n.pools.Reachability())
 	r.Suspicions = n.suspicions()
 	r.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacedToWire(placed)
@@ -293,7 +293,7 @@
 	for _, v := range r.Engines {
 		engines[v.Service] = capacity.Engine{Reading: v.Reading, First: v.First, Token: v.Token, Samples: int(v.Samples)}
 	}
-	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
+	n.pools.ApplyReport(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
 	n.recordListChange(r.Node, r.ListChange)
 	n.catchUp(ctx, r)
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -191,22 +191,22 @@
 		n.confirmPlacements(d.Shares)
 	}
 	n.mu.Unlock()
-	n.pools.TakeShares(d.Shares, covered, d.Placed)
+	n.pools.ApplyPeerLoads(d.Shares, covered, d.Placed)
 	n.applyReach(d.Reach)
 }
 
 // applyReach applies what the other nodes of the hall couldn't reach.
-func (n *Node) applyReach(r pool.Reach) {
-	for _, h := range n.pools.TakeReach(r) {
-		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreached)), zap.Duration("answered", r.Answered[h]))
+func (n *Node) applyReach(r pool.Reachability) {
+	for _, h := range n.pools.ApplyReachability(r) {
+		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreachable)), zap.Duration("answered", r.LastResponse[h]))
 	}
 }
 
 // confirmPlacements marks the share of this node's own nodes as complete, as this node places their requests,
 // and drops the pending placements that the share already contains. The node's lock is held.
-func (n *Node) confirmPlacements(shares []pool.Share) {
-	shares[0].Whole = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.aggregator.Heard(node).After(at.Add(maxReportDelay)) })
+func (n *Node) confirmPlacements(shares []pool.PeerLoad) {
+	shares[0].Complete = true
+	n.pools.DropReported(func(node string, at time.Time) bool { return n.aggregator.Heard(node).After(at.Add(maxReportDelay)) })
 }
 
 // swapWithRelays swaps with the other relays whose turn it is.
@@ -281,7 +281,7 @@
 	if n.homeRelay == n.settings.Node {
 		shares := n.aggregator.Shares(now, n.settings.Node)
 		n.confirmPlacements(shares)
-		n.pools.TakeShares(shares, n.digestNodes, nil)
+		n.pools.ApplyPeerLoads(shares, n.digestNodes, nil)
 	}
 	if p := n.peers.peers[g.Relay]; p != nil {
 		p.relay.lastSwapped, p.relay.knownIncarnation, p.relay.knownVersion = now, w.KnownLifetime, w.KnownVersion
--- a/internal/edge/rollout_runner_test.go
+++ b/internal/edge/rollout_runner_test.go
@@ -172,7 +172,7 @@
 	roll.step(t.Context(), token)
 	r.assertStage(a, rollout.StageRolledBack)
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
@@ -188,7 +188,7 @@
 	assert.False(t, a.countsAsCapacity(pool.Entry{Service: "s", Version: "v2"}))
 	assert.True(t, a.countsAsCapacity(pool.Entry{Service: "s", Version: "v1"}))
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -260,7 +260,7 @@
 // voidEntries marks the entries whose values can't be decoded.
 func (n *Node) voidEntries(l *pool.List, pairs []store.Pair) {
 	for _, p := range pairs {
-		l.Void(p.Modified, n.entryID(p.Key))
+		l.MarkUnreadable(p.Modified, n.entryID(p.Key))
 	}
 }
 
@@ -302,9 +302,9 @@
 
 // updateList changes the list and logs the resulting events.
 func (n *Node) updateList(source string, f func(now time.Time, l *pool.List)) {
-	before := n.pools.Change()
+	before := n.pools.LastChange()
 	changes := n.pools.Update(func(l *pool.List) { f(n.clock.Now(), l) })
-	if len(changes) > 0 || n.pools.Change() != before {
+	if len(changes) > 0 || n.pools.LastChange() != before {
 		n.changes.announceList()
 	}
 	for _, c := range changes {
--- a/internal/edge/watchers.go
+++ b/internal/edge/watchers.go
@@ -211,7 +211,7 @@
 		return err
 	}
 	m := a.Msg
-	if !m.Watching || m.HasList && m.ListRevision < n.pools.Change() {
+	if !m.Watching || m.HasList && m.ListRevision < n.pools.LastChange() {
 		return errNoUpdates
 	}
 	n.markStoreAvailable()
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -72,7 +72,7 @@
 	Catalog func() *catalog.Catalog
 	// Place returns the upstream that is to take a request, or nothing if this node is to
 	// choose one.
-	Place func(ctx context.Context, n pool.Need) string
+	Place func(ctx context.Context, n pool.Request) string
 	// Charge takes tokens from a workspace's quota, Refund gives them back.
 	Charge func(workspace string, tokens float64) quota.Verdict
 	Refund func(workspace string, tokens float64)
@@ -144,7 +144,7 @@
 	arrived   time.Time
 	until     time.Time     // when an answer is due
 	before    time.Duration // between the caller's first try and this one
-	tries     retry.Tries   // of the search for an upstream that goes on
+	tries     retry.SearchLimit   // of the search for an upstream that goes on
 	sends     int           // attempts of which a byte left, but for those that another upstream's life answered
 	arrivals  int           // attempts of which a byte left
 	mayRun    bool          // an attempt may have run it
@@ -421,6 +421,6 @@
 	c := u.Choice()
 	return []zap.Field{
 		zap.String("upstream", u.Entry().ID), zap.String("hall", u.Entry().Hall), zap.Int("candidates", c.Candidates), zap.Int("limited", c.Limited), zap.Bool("by_relay", c.ByRelay), zap.Int("running", c.Running),
-		zap.Int("queued_tokens", int(c.Queued)), zap.Int("cached_tokens", int(c.Cached)), zap.Int("fetched_tokens", int(c.Fetched)), zap.Float64("slowness", math.Round(10*c.Slowness)/10), zap.Int64("list_revision", c.Revision), zap.Duration("oldest_report", c.Oldest),
+		zap.Int("queued_tokens", int(c.Queued)), zap.Int("cached_tokens", int(c.Cached)), zap.Int("fetched_tokens", int(c.Fetched)), zap.Float64("slowness", math.Round(10*c.Slowness)/10), zap.Int64("list_revision", c.Revision), zap.Duration("oldest_report", c.OldestReport),
 	}
 }
--- a/internal/forward/trial.go
+++ b/internal/forward/trial.go
@@ -18,7 +18,7 @@
 // again at the version in service, so a bad version costs most callers a second.
 
 // pickTrial chooses an upstream of a version on trial, if the request goes there.
-func (s *Server) pickTrial(q *request, n pool.Need) *pool.Use {
+func (s *Server) pickTrial(q *request, n pool.Request) *pool.Use {
 	if !s.o.Trials.Offer(q.service, q.route.Name()) {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	use := t.s.o.Pools.Pick(t.s.need(t.q, map[string]bool{t.a.use.Entry().ID: true}))
 	if use == nil || use.Rank() < 0 {
 		if use != nil {
-			use.End(pool.ResultUnclear)
+			use.End(pool.ResultInconclusive)
 		}
 		t.kept = true // there is nowhere to go: it ends with its upstream, or before
 		return event{}, false
@@ -83,7 +83,7 @@
 	t.s.o.Log.Info("stream_moved", zap.String("request", t.q.meta.ID), zap.String("upstream", t.a.use.Entry().ID),
 		zap.String("to", use.Entry().ID), zap.String("last_event", t.last))
 	t.a.stop(errMoved)
-	t.a.end(pool.ResultUnclear)
+	t.a.end(pool.ResultInconclusive)
 	a, err := t.s.try(t.ctx, t.q, use, t.last)
 	if err == nil && a.events != nil {
 		t.a = a
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -29,7 +29,7 @@
 	spent    map[string]counter
 	started  usage.Windows
 	loads    []pool.Load // of the relay's own nodes
-	reach    pool.Reach
+	reach    pool.Reachability
 	trials   []rollout.Word
 	ended    []rollout.Word // of the node's processes before
 }
@@ -45,7 +45,7 @@
 	heard    time.Time
 	lost     bool // it isn't heard any more
 	version  uint64
-	share    pool.Share
+	share    pool.PeerLoad
 	trials   []rollout.Word
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -64,7 +64,7 @@
 	Spent    map[string]float64 // tokens charged since the process began, by workspace
 	Started  usage.Windows      // requests begun, of the newest windows
 	Trials   []rollout.Word
-	Reach    pool.Reach
+	Reach    pool.Reachability
 }
 
 // Change is what is new of one process.
@@ -84,12 +84,12 @@
 type Digest struct {
 	Lifetime string                   // of the relay's process
 	Version  uint64                   // up to which changes are told
-	Shares   []pool.Share             // of all nodes but the asker, as Shares returns them
+	Shares   []pool.PeerLoad             // of all nodes but the asker, as Shares returns them
 	Relays   map[string]time.Duration // age of what each relay has told of its nodes
 	Changes  []Change
 	Placed   []pool.Placement
 	Trials   []rollout.Word // of all nodes but the asker
-	Reach    pool.Reach     // of the other nodes that report here
+	Reach    pool.Reachability     // of the other nodes that report here
 }
 
 // Group is what a relay tells another one: its own nodes.
@@ -97,7 +97,7 @@
 	Relay    string
 	Lifetime string
 	Version  uint64 // up to which changes are told
-	Share    pool.Share
+	Share    pool.PeerLoad
 	Changes  []Change
 	Placed   []pool.Placement
 	Trials   []rollout.Word
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -63,11 +63,11 @@
 }
 
 // reach is what this relay's nodes, which are of one hall, have found out but for one of them.
-func (b *Book) reach(now time.Time, but string) pool.Reach {
-	var sum pool.Reach
+func (b *Book) reach(now time.Time, but string) pool.Reachability {
+	var sum pool.Reachability
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
-			sum = sum.Plus(v.reach, now.Sub(v.heard))
+			sum = sum.Merge(v.reach, now.Sub(v.heard))
 		}
 	}
 	return sum
@@ -103,12 +103,12 @@
 
 // Shares returns what all nodes but one have: first the nodes of this relay, then those of
 // the others.
-func (b *Book) Shares(now time.Time, but string) []pool.Share {
-	return []pool.Share{b.own(now, but), b.others(now)}
+func (b *Book) Shares(now time.Time, but string) []pool.PeerLoad {
+	return []pool.PeerLoad{b.own(now, but), b.others(now)}
 }
 
 // own is what this relay's nodes have, but for one of them.
-func (b *Book) own(now time.Time, but string) pool.Share {
+func (b *Book) own(now time.Time, but string) pool.PeerLoad {
 	var s sum
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
@@ -119,7 +119,7 @@
 }
 
 // others is what the other relays' nodes have.
-func (b *Book) others(now time.Time) pool.Share {
+func (b *Book) others(now time.Time) pool.PeerLoad {
 	var s sum
 	for _, g := range b.groups {
 		if age := now.Sub(g.heard); age <= silentAfter {
@@ -209,15 +209,15 @@
 		v.Upstream = l.Upstream
 		v.Running += l.Running
 		v.Queued += l.Queued
-		v.Held += l.Held
+		v.Reserved += l.Reserved
 		s.loads[l.Upstream] = v
 		s.aged += age * time.Duration(l.Running)
 		s.runs += l.Running
 	}
 }
 
-func (s *sum) share() pool.Share {
-	v := pool.Share{Loads: make([]pool.Load, 0, len(s.loads))}
+func (s *sum) share() pool.PeerLoad {
+	v := pool.PeerLoad{Loads: make([]pool.Load, 0, len(s.loads))}
 	for _, l := range s.loads {
 		v.Loads = append(v.Loads, l)
 	}
