--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -13,19 +13,19 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file carries the limits that upstreams name for all nodes together (package limit). They go with every
-// report, digest and swap, like what is known of requests that end upstreams: a node that had no answer of an
-// upstream in need keeps to its limit all the same.
+// This file shares the rate limits that upstreams set for all nodes together (package limit). They are part of
+// every report, digest and swap, like the crash evidence: a node keeps to the limit of an overloaded upstream
+// even if it has received no response from that upstream itself.
 
-// hearLimits takes in what another node knows.
-func (n *Node) hearLimits(m []*wire.Limited, source string) {
+// mergeLimits merges the limits that another node knows.
+func (n *Node) mergeLimits(m []*wire.Limited, source string) {
 	for _, w := range n.pools.ApplyLimits(message.LimitsFromWire(n.clock.Now(), m)) {
-		n.noteLimit(source, w)
+		n.logLimit(source, w)
 	}
 }
 
-// noteLimit tells that a limit is named, changed or lifted, and who said so.
-func (n *Node) noteLimit(source string, w limit.Word) {
+// logLimit logs that a limit is set, changed or lifted, and the source.
+func (n *Node) logLimit(source string, w limit.Word) {
 	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
 	if w.Lifted {
 		upstreamEvents.Add("limits_lifted", 1)
@@ -36,26 +36,27 @@
 	n.log.Info("limit_named", append(f, zap.Float64("rate", w.Rate))...)
 }
 
-// shareLimits says which nodes share limits: those that this one hears or finds in the registry, and that don't
-// leave. Where relays place the requests at engines, they alone share an engine's. A process that doesn't know yet
-// who else there is has no share: after a loss of all, each would take the whole rate. The node's lock is held.
-func (n *Node) shareLimits(now time.Time) {
+// updateLimitSenders sets the nodes that share limits: those that are responsive or registered, and not
+// leaving. Where relays place the requests at engines, only the relays share an engine's limit. A process that
+// doesn't know the other nodes yet has no share: after a loss of all processes, each would use the whole rate.
+// The node's lock is held.
+func (n *Node) updateLimitSenders(now time.Time) {
 	var nodes, placers []string
-	if !n.knowsOthers(now) {
+	if !n.knowsPeers(now) {
 		n.pools.SetSenders(nil, nil)
 		return
 	}
 	if !n.isLeaving() {
-		nodes = append(nodes, n.s.Node)
+		nodes = append(nodes, n.settings.Node)
 	}
 	for _, p := range n.peers.peers {
-		if !p.leaving && n.isThere(now, p) {
+		if !p.leaving && n.isPresent(now, p) {
 			nodes = append(nodes, p.name)
 		}
 	}
 	slices.Sort(nodes)
 	if pair.Every(n.peers.size()) > pair.Round {
-		placers = n.relays(now, relay.Active)
+		placers = n.relaysOfAllHalls(now, relay.Active)
 	}
 	n.pools.SetSenders(nodes, placers)
 }
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -14,57 +14,56 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file makes nodes find each other: each holds a key in the store under a lease,
-// and reads the others' keys now and then. A node that is in touch with others knows
-// them from their reports; the registry is for those that start, and it says how many
-// share a quota when some are silent.
+// This file implements discovery: each node holds a key in the store under a lease, and reads the keys of the
+// others periodically. A node that exchanges reports knows its peers from those; the registry serves starting
+// nodes, and determines how many nodes share a quota when some are unresponsive.
 
 const (
 	memberPrefix = "spurhall/nodes/"
-	// memberTTL is how long a node that died counts as sharing quotas: longer than a
-	// restart takes, so that the others' shares don't swing.
+	// memberTTL is how long a crashed node counts as sharing quotas: longer than a restart takes, so that the
+	// other nodes' shares stay stable.
 	memberTTL = 6 * time.Second
-	// memberRenew is how often the lease is renewed. A renewal costs a tenth of a call, so
-	// that renewing more seldom in a large fleet, by leases entered anew, saves nothing.
-	memberRenew = 1500 * time.Millisecond
-	// memberLook is how often the registry is read, at the stale read's price.
-	memberLook = 2 * time.Second
-	// memberGone is how long a node is kept that is neither heard nor registered.
-	memberGone = 3 * time.Second
+	// memberRenewInterval is how often the lease is renewed. A renewal costs a tenth of a call, so renewing
+	// less often in a large fleet, with leases created anew, saves nothing.
+	memberRenewInterval = 1500 * time.Millisecond
+	// registryReadInterval is how often the registry is read, at the price of a stale read.
+	registryReadInterval = 2 * time.Second
+	// memberRetention is how long a node is kept that is neither responsive nor registered.
+	memberRetention = 3 * time.Second
 )
 
 type memberValue struct {
-	Address  string  `json:"address"`
-	Lifetime string  `json:"lifetime"`
-	Hall     string  `json:"hall"`
-	Cores    float64 `json:"cores"`
+	Address     string  `json:"address"`
+	Incarnation string  `json:"lifetime"`
+	Hall        string  `json:"hall"`
+	Cores       float64 `json:"cores"`
 }
 
 // register keeps this node's key in the store until the context ends.
 func (n *Node) register(ctx context.Context) {
 	id := int64(0)
 	for ctx.Err() == nil {
-		pause := memberRenew
-		if id = n.renew(ctx, id); id == 0 {
-			pause = followPause // the others wait for it
+		pause := memberRenewInterval
+		if id = n.renewMember(ctx, id); id == 0 {
+			pause = storeRetryPause // the other nodes depend on the key
 		}
-		_ = n.clock.Sleep(ctx, pause) // the loop's condition sees the end
+		_ = n.clock.Sleep(ctx, pause) // the loop condition checks the context
 	}
 	if id != 0 {
-		n.withdraw(id)
+		n.withdrawMember(id)
 	}
 }
 
-// renew keeps the lease of this node's key, or enters the key anew. It returns the
-// lease, or 0 if there is none.
-func (n *Node) renew(ctx context.Context, id int64) int64 {
+// renewMember renews the lease of this node's key, or writes the key under a new lease. It returns the lease,
+// or 0 if there is none.
+func (n *Node) renewMember(ctx context.Context, id int64) int64 {
 	if id != 0 {
 		_, err := n.kv.KeepAlive(ctx, id)
 		if !errors.Is(err, store.ErrLeaseGone) {
-			return id // renewed, or the next round tries again
+			return id // renewed, or to be retried in the next round
 		}
 	}
-	id, err := n.enter(ctx)
+	id, err := n.putMember(ctx)
 	if err != nil {
 		n.log.Info("registration_failed", zap.String("cause", err.Error()))
 		return 0
@@ -73,38 +72,38 @@
 	return id
 }
 
-func (n *Node) enter(ctx context.Context) (int64, error) {
-	id, err := n.kv.Grant(ctx, max(memberTTL, n.s.Store.MinLease))
+func (n *Node) putMember(ctx context.Context) (int64, error) {
+	id, err := n.kv.Grant(ctx, max(memberTTL, n.settings.Store.MinLease))
 	if err != nil {
 		return 0, err
 	}
-	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Lifetime, Hall: n.s.Hall, Cores: n.s.Cores})
+	b, err := json.Marshal(memberValue{Address: n.settings.Peers, Incarnation: n.options.Incarnation, Hall: n.settings.Hall, Cores: n.settings.Cores})
 	if err != nil {
 		return 0, err
 	}
-	// The key may still be held by the lease of the process before, if that was killed.
-	k := memberPrefix + n.s.Node
+	// If the previous process was killed, the key may still be bound to its lease.
+	k := memberPrefix + n.settings.Node
 	n.logPrevious(ctx, k)
 	_, err = n.kv.Txn(ctx, store.Txn{Then: []store.Op{{Kind: store.OpPut, Key: k, Value: b, Lease: id}}})
 	return id, err
 }
 
-// logPrevious tells of the process before: a planned stop takes the key away.
+// logPrevious logs that the previous process was killed: a planned stop deletes the key.
 func (n *Node) logPrevious(ctx context.Context, key string) {
 	r, err := n.kv.Range(ctx, key, "")
 	if err != nil || len(r.Pairs) == 0 {
-		return // nothing is known of it
+		return // no trace of a previous process
 	}
 	var v memberValue
-	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Lifetime {
+	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Incarnation == n.options.Incarnation {
 		return
 	}
-	n.log.Warn("previous_killed", zap.String("lifetime", v.Lifetime), zap.Int64("registered_at", r.Pairs[0].Modified))
+	n.log.Warn("previous_killed", zap.String("lifetime", v.Incarnation), zap.Int64("registered_at", r.Pairs[0].Modified))
 }
 
 const withdrawTimeout = 300 * time.Millisecond
 
-func (n *Node) withdraw(id int64) {
+func (n *Node) withdrawMember(id int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if err := n.kv.Revoke(ctx, id); err != nil {
@@ -112,25 +111,25 @@
 	}
 }
 
-// look reads the registry until the context ends. The first look is an exact read: a
-// node that starts needs the others at once.
-func (n *Node) look(ctx context.Context) {
+// pollRegistry reads the registry until the context ends. The first read is exact, not stale: a starting node
+// needs the other nodes at once.
+func (n *Node) pollRegistry(ctx context.Context) {
 	exact := func(ctx context.Context, p string) (store.RangeResult, error) {
 		return n.kv.Range(ctx, p, store.PrefixEnd(p))
 	}
-	for n.lookOnce(ctx, exact) != nil {
-		if n.clock.Sleep(ctx, followPause) != nil {
+	for n.readRegistry(ctx, exact) != nil {
+		if n.clock.Sleep(ctx, storeRetryPause) != nil {
 			return
 		}
 	}
-	n.clock.Every(ctx, memberLook, func(time.Time) {
-		if err := n.lookOnce(ctx, n.kv.Glance); err != nil {
+	n.clock.Every(ctx, registryReadInterval, func(time.Time) {
+		if err := n.readRegistry(ctx, n.kv.Glance); err != nil {
 			n.log.Debug("registry_unread", zap.String("cause", err.Error()))
 		}
 	})
 }
 
-func (n *Node) lookOnce(ctx context.Context, read func(ctx context.Context, prefix string) (store.RangeResult, error)) error {
+func (n *Node) readRegistry(ctx context.Context, read func(ctx context.Context, prefix string) (store.RangeResult, error)) error {
 	r, err := read(ctx, memberPrefix)
 	if err != nil {
 		return err
@@ -139,22 +138,22 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	for _, p := range r.Pairs {
-		n.listMember(now, p)
+		n.applyMember(now, p)
 	}
 	for name, p := range n.peers.peers {
-		if now.Sub(p.heard) > max(memberGone, pair.Silent(n.peers.size())) && now.Sub(p.listed) > memberGone {
+		if now.Sub(p.lastSeen) > max(memberRetention, pair.Silent(n.peers.size())) && now.Sub(p.lastListed) > memberRetention {
 			delete(n.peers.peers, name)
-			n.notePeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.heard)))
+			n.logPeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.lastSeen)))
 		}
 	}
-	n.looked = true
+	n.peersRead = true
 	n.quotas.SetPeers(now, n.peers.names())
 	return nil
 }
 
-func (n *Node) listMember(now time.Time, p store.Pair) {
+func (n *Node) applyMember(now time.Time, p store.Pair) {
 	name := p.Key[len(memberPrefix):]
-	if name == n.s.Node {
+	if name == n.settings.Node {
 		return
 	}
 	var v memberValue
@@ -163,40 +162,40 @@
 		return
 	}
 	known := n.peers.peers[name]
-	if known != nil && now.Sub(known.heard) <= pair.Silent(n.peers.size()) {
-		known.listed = now // what it says itself is newer than a stale read
+	if known != nil && now.Sub(known.lastSeen) <= pair.Silent(n.peers.size()) {
+		known.lastListed = now // its own reports are newer than a stale read
 		return
 	}
-	found := n.peers.get(name, v.Address)
-	found.listed, found.hall, found.cores = now, v.Hall, v.Cores
+	found := n.peers.getOrAdd(name, v.Address)
+	found.lastListed, found.hall, found.cores = now, v.Hall, v.Cores
 }
 
-// greet calls the seeds until another node is known: a node that starts while the store
-// is away has no other way to find one.
-func (n *Node) greet(ctx context.Context) {
-	for len(n.s.Seeds) > 0 && ctx.Err() == nil {
+// contactSeeds calls the seeds until another node is known: a node that starts while the store is
+// unavailable can't discover one otherwise.
+func (n *Node) contactSeeds(ctx context.Context) {
+	for len(n.settings.Seeds) > 0 && ctx.Err() == nil {
 		n.mu.Lock()
 		known := len(n.peers.peers) > 0
 		n.mu.Unlock()
 		if known {
 			return
 		}
-		for _, a := range n.s.Seeds {
-			if a != n.s.Peers {
-				n.greetOne(ctx, a)
+		for _, a := range n.settings.Seeds {
+			if a != n.settings.Peers {
+				n.contactSeed(ctx, a)
 			}
 		}
-		_ = n.clock.Sleep(ctx, pair.Round) // the loop's condition sees the end
+		_ = n.clock.Sleep(ctx, pair.Round) // the loop condition checks the context
 	}
 }
 
-func (n *Node) greetOne(ctx context.Context, address string) {
+func (n *Node) contactSeed(ctx context.Context, address string) {
 	c, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	a, err := n.peers.client(address).Report(c, connect.NewRequest(&wire.ReportRequest{Report: n.report(pairWindows)}))
+	a, err := n.peers.newClient(address).Report(c, connect.NewRequest(&wire.ReportRequest{Report: n.buildReport(pairWindows)}))
 	if err != nil {
 		n.log.Info("seed_silent", zap.String("address", address), zap.String("cause", err.Error()))
 		return
 	}
-	n.takeIn(ctx, a.Msg.Report)
+	n.applyReport(ctx, a.Msg.Report)
 }
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -15,15 +15,15 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// silentNode answers reports with nothing.
-func silentNode() http.Handler {
+// emptyReportHandler responds to reports with an error and no content.
+func emptyReportHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(wireconnect.NewEdgeHandler(wireconnect.UnimplementedEdgeHandler{}))
 	return m
 }
 
-// heldBytes is what the process holds now, on the heap and in stacks.
-func heldBytes() float64 {
+// memoryInUse returns the memory of the process in heap and stacks.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -31,25 +31,25 @@
 	return float64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkPeerConnections calls 300 other nodes in turn, as pairs do, and reports what each
-// of them costs in memory afterwards, both ends of a connection together.
+// BenchmarkPeerConnections calls up to 300 peers in turn, as pairs do, and reports the memory that each of
+// them takes afterwards, both ends of a connection together.
 func BenchmarkPeerConnections(b *testing.B) {
 	for _, nodes := range []int{70, 300} {
 		b.Run(fmt.Sprint(nodes, " nodes"), func(b *testing.B) {
-			n := &Node{s: &Settings{Node: "n"}, clock: timer.Real(), log: zap.NewNop()}
-			t := newTable(n)
+			n := &Node{settings: &Settings{Node: "n"}, clock: timer.Real(), log: zap.NewNop()}
+			t := newPeerTable(n)
 			n.peers = t
 			for i := 0; i < nodes; i++ {
-				s := httptest.NewServer(silentNode())
+				s := httptest.NewServer(emptyReportHandler())
 				defer s.Close()
-				t.get(fmt.Sprint("peer-", i), s.Listener.Addr().String())
+				t.getOrAdd(fmt.Sprint("peer-", i), s.Listener.Addr().String())
 			}
 			for b.Loop() {
-				before := heldBytes()
+				before := memoryInUse()
 				for _, p := range t.peers {
-					_, _ = t.pair(p).Report(b.Context(), connect.NewRequest(&wire.ReportRequest{}))
+					_, _ = t.pairClient(p).Report(b.Context(), connect.NewRequest(&wire.ReportRequest{}))
 				}
-				b.ReportMetric((heldBytes()-before)/float64(nodes), "B/peer")
+				b.ReportMetric((memoryInUse()-before)/float64(nodes), "B/peer")
 			}
 		})
 	}
--- a/internal/edge/place.go
+++ b/internal/edge/place.go
@@ -13,43 +13,43 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file asks a relay where to send a request; pool/placed.go says why. A relay that
-// doesn't answer at once isn't waited for: the node chooses by itself, as it does in a small
-// fleet and for whatever has failed once.
+// This file asks a relay to choose an upstream for a request; package pool gives the reasons. A relay that
+// doesn't respond at once isn't waited for: the node chooses by itself, as it does in a small fleet and after
+// a failed attempt.
 
-// placeTimeout is how long a relay is waited for: some times what a busy one of 0.2 cores
-// takes for a call, by estimate, and an eighth of the shortest latency target of an engine, 250 ms.
+// placeTimeout is how long a relay is waited for: by estimate, several times what a busy relay with 0.2
+// cores takes for a call, and an eighth of the shortest latency target of an engine, 250 ms.
 const (
 	placeTimeout = 30 * time.Millisecond
-	// placePause is how long a relay that didn't answer in time isn't asked: until the next
-	// report to it, whose failure makes this node turn to another.
-	placePause = pair.Round
+	// placeRetryPause is how long a relay that didn't respond in time isn't asked: until the next report to it,
+	// whose failure makes this node switch to another relay.
+	placeRetryPause = pair.Round
 )
 
-// place returns the upstream that this node's relay chooses for a request, or nothing if
-// the node is to choose.
-func (n *Node) place(ctx context.Context, v pool.Request) string {
+// placeByRelay returns the upstream that this node's relay chooses for a request, or "" if the node itself
+// is to choose.
+func (n *Node) placeByRelay(ctx context.Context, v pool.Request) string {
 	n.mu.Lock()
-	p := n.peers.peers[n.home]
+	p := n.peers.peers[n.homeRelay]
 	now := n.clock.Now()
-	ask := now.Sub(n.relayed) <= relayedFor && !now.Before(n.placing)
+	ask := now.Sub(n.digestAt) <= digestLifetime && !now.Before(n.placeRetryAt)
 	n.mu.Unlock()
 	if p == nil || !ask {
 		return ""
 	}
 	c, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	r := &wire.PlaceRequest{Node: n.s.Node, Request: v.ID, Service: v.Service, Prompt: v.Prompt, Output: v.Output}
+	r := &wire.PlaceRequest{Node: n.settings.Node, Request: v.ID, Service: v.Service, Prompt: v.Prompt, Output: v.Output}
 	for _, x := range v.Parts {
 		r.Parts = append(r.Parts, &wire.Part{Id: x.ID, Tokens: int64(x.Tokens)})
 	}
 	a, err := p.client.Place(c, connect.NewRequest(r))
 	if ctx.Err() != nil {
-		return "" // the caller has left, which tells nothing of the relay
+		return "" // the caller has left, which says nothing about the relay
 	}
 	if err != nil {
 		n.mu.Lock()
-		n.placing = n.clock.Now().Add(placePause)
+		n.placeRetryAt = n.clock.Now().Add(placeRetryPause)
 		n.mu.Unlock()
 		n.log.Info("place_failed", zap.String("request", v.ID), zap.String("relay", p.name), zap.String("cause", err.Error()))
 		return ""
@@ -57,8 +57,8 @@
 	return a.Msg.Upstream
 }
 
-// Place chooses an upstream for a request of another node. One that has waited for longer than its node does isn't
-// placed any more: it would take an upstream's turn, and count as load, for nobody.
+// Place chooses an upstream for a request of another node. A call that has exceeded its node's time-out is
+// rejected: its placement would use the upstream's rate, and count as load, without a request being sent.
 func (s *edgeService) Place(ctx context.Context, r *connect.Request[wire.PlaceRequest]) (*connect.Response[wire.PlaceResponse], error) {
 	m := r.Msg
 	if ctx.Err() != nil {
--- /dev/null
+++ b/internal/edge/usage_counts_test.go
@@ -0,0 +1,97 @@
+package edge
+
+import (
+	"context"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"spurhall.example/spurhall/internal/standin"
+	"spurhall.example/spurhall/internal/store"
+	"spurhall.example/spurhall/internal/timer"
+	"spurhall.example/spurhall/internal/usage"
+)
+
+// newCounter returns a holder of the duties that counts usage.
+func newCounter(t *testing.T, kv store.KV, clock *timer.Service, name, incarnation string) *Node {
+	t.Helper()
+	n := newHolder(t, kv, clock, name)
+	n.settings = &Settings{Node: name}
+	n.options.Incarnation = incarnation
+	n.usage = usage.New(name, incarnation, 5*time.Second)
+	return n
+}
+
+// TestUsageCountsSurviveLossOfAllProcesses loses all processes after a window has ended and before it is
+// settled.
+func TestUsageCountsSurviveLossOfAllProcesses(t *testing.T) {
+	ctx := context.Background()
+	clock := timer.NewManual(time.Unix(1000, 0))
+	s := httptest.NewServer(standin.NewPlatform(clock.Service()).Handler())
+	t.Cleanup(s.Close)
+	kv := store.NewGateway(s.URL, 5*time.Second, timer.Real()).KV()
+
+	a := newCounter(t, kv, clock.Service(), "a", "1")
+	acquireLease(t, a)
+	window := a.usage.Window(clock.Service().Now())
+	var c usageCountsWriter
+	c.restore(ctx, a)
+	a.usage.Add(clock.Service().Now(), "w")
+	a.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
+	clock.Advance(5 * time.Second)
+	a.usage.Add(clock.Service().Now(), "w") // in the next window
+	a.lease.Resign()                        // not renewed while the clock was advanced
+	token := acquireLease(t, a)
+	c.write(ctx, a, token)
+	assert.Zero(t, c.writtenWindow, "reports of the end of the window are still outstanding")
+	clock.Advance(usageWriteDelay)
+	c.write(ctx, a, token)
+	assert.Equal(t, window, c.writtenWindow)
+
+	restarted := newCounter(t, kv, clock.Service(), "a", "2")
+	acquireLease(t, restarted)
+	var d usageCountsWriter
+	d.restore(ctx, restarted)
+	assert.Equal(t, usage.Counts{"w": 8}, restarted.usage.Sum(window))
+	assert.Empty(t, restarted.usage.Sum(window+1), "windows that haven't ended aren't written")
+	t.Run("repeated reports of a process are counted once", func(t *testing.T) {
+		restarted.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
+		assert.Equal(t, usage.Counts{"w": 8}, restarted.usage.Sum(window))
+	})
+	t.Run("counts to be written are a copy", func(t *testing.T) {
+		list := restarted.processCounts(window)
+		restarted.usage.TakeIn("b", "1", usage.Windows{window: {"w": 100, "v": 1}})
+		for _, p := range list {
+			assert.NotContains(t, p.Windows[window], "v")
+		}
+		restarted.usage = usage.New("a", "2", 5*time.Second)
+		d.restore(ctx, restarted)
+	})
+	t.Run("late counts cause another write", func(t *testing.T) {
+		a.lease.Resign()
+		restarted.lease.Resign()
+		token := acquireLease(t, a)
+		a.usage.TakeIn("c", "1", usage.Windows{window: {"w": 30}}) // its hall was partitioned
+		clock.Advance(usageRewriteInterval)
+		c.write(ctx, a, token)
+		a.lease.Resign()
+		late := newCounter(t, kv, clock.Service(), "a", "4")
+		acquireLease(t, late)
+		var e usageCountsWriter
+		e.restore(ctx, late)
+		assert.Equal(t, usage.Counts{"w": 38}, late.usage.Sum(window))
+		late.lease.Resign()
+		acquireLease(t, restarted)
+	})
+	t.Run("a holder writes restored counts again", func(t *testing.T) {
+		restarted.lease.Resign()
+		d.write(ctx, restarted, acquireLease(t, restarted))
+		third := newCounter(t, kv, clock.Service(), "a", "3")
+		acquireLease(t, third)
+		var e usageCountsWriter
+		e.restore(ctx, third)
+		assert.Equal(t, usage.Counts{"w": 8}, third.usage.Sum(window))
+	})
+}
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -15,125 +15,124 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file follows what the store holds. Both followers read a whole range and then
-// watch from its revision on; whatever breaks the watch, a compacted history included,
-// leads back to the range. What is held meanwhile stays in force.
+// This file follows the state in the store. Both followers read a whole range and then watch from its
+// revision on; any failure of the watch, a compacted history included, leads back to reading the range. The
+// state that was read last stays in force meanwhile.
 //
-// A watch that waits can't tell silence from calm. It is begun anew when another call to
-// the store fails, and when other nodes have heard of a change that this one hasn't. A
-// store that forgets its history may leave all watches that wait without an answer, and
-// answer all other calls; so the catalog's watch waits for less than what a change of the
-// configuration may take, and its failure makes the others begin anew, too.
+// A waiting watch can't tell a lost connection from the absence of changes. It is restarted when another
+// call to the store fails, and when peers have reported a change that this node lacks. A store that loses
+// its history may leave all waiting watches without a response while it answers all other calls; so the
+// catalog's watch waits for less than a configuration change may take, and its failure restarts the others.
 
-// followPause is the pause after a failure. The guard's breaker adds its own.
-const followPause = 100 * time.Millisecond
+// storeRetryPause is the pause after a failure. The guard's breaker adds its own.
+const storeRetryPause = 100 * time.Millisecond
 
 const (
-	// catalogWait and listWait are how long a watch may have nothing to tell; each end of a
-	// wait costs a call.
-	catalogWait = 2 * time.Second
-	listWait    = 6 * time.Second
-	// gatherNode and gatherLimit set the pause after changes of the list, so much for each
-	// node that watches: a wave of reclaims or a release comes as a change for each upstream,
-	// each answer to a watch is a call that is paid for, and all that watch get it. The limit
-	// is well below the seconds for which a leaving upstream still serves.
-	gatherNode  = 50 * time.Millisecond
-	gatherLimit = 500 * time.Millisecond
-	// behindFor is how long this node's list may lack a change that another node has: two
-	// reports, and the delay of a watch.
-	behindFor = 600 * time.Millisecond
+	// catalogWatchWait and listWatchWait are how long a watch may wait without an event; each end of a wait
+	// costs a call.
+	catalogWatchWait = 2 * time.Second
+	listWatchWait    = 6 * time.Second
+	// batchDelayPerNode and maxBatchDelay set the pause after changes of the list, in proportion to the number
+	// of watching nodes: a wave of reclaims or a release arrives as one change per upstream, and each watch
+	// response is a paid call that goes to every watcher. The maximum is well below the seconds for which a
+	// leaving upstream still serves.
+	batchDelayPerNode = 50 * time.Millisecond
+	maxBatchDelay     = 500 * time.Millisecond
+	// maxListLag is how long this node's list may lack a change that a peer has: two report rounds and the
+	// delay of a watch.
+	maxListLag = 600 * time.Millisecond
 )
 
-// errBehind ends a watch that lacks what other nodes have heard.
-var errBehind = errs.NewType("behind").New("other nodes have heard of later changes")
+// errBehind cancels a watch that lacks a change which peers have reported.
+var errBehind = errs.NewType("behind").New("peers have reported later changes")
 
-// follower reads a prefix again and again, and watches it in between.
+// follower reads a prefix repeatedly and watches it in between.
 type follower struct {
-	n       *Node
-	name    string
-	prefix  string
-	wait    time.Duration // how long a watch may have nothing to tell
-	whole   func(r store.RangeResult)
-	change  func(b store.WatchBatch)
-	failed  time.Time // since when the store doesn't answer; zero: it does
-	inTouch atomic.Bool
-
-	mu   sync.Mutex
-	stop context.CancelCauseFunc // of the watch under way
+	n             *Node
+	name          string
+	prefix        string
+	watchWait     time.Duration // how long a watch may wait without an event
+	applySnapshot func(r store.RangeResult)
+	applyBatch    func(b store.WatchBatch)
+	failedSince   time.Time // since when the store is unavailable; zero: it is available
+	connected     atomic.Bool
+
+	mu          sync.Mutex
+	cancelWatch context.CancelCauseFunc // cancels the watch in progress
 }
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := f.follow(ctx)
+		err := f.readAndWatch(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if begunAnew(err) {
+		if isWatchRestart(err) {
 			f.n.log.Info("watch_begun_anew", zap.String("reader", f.name), zap.String("cause", err.Error()))
 		} else {
-			f.lost(err)
+			f.markLost(err)
 		}
-		_ = f.n.clock.Sleep(ctx, followPause)
+		_ = f.n.clock.Sleep(ctx, storeRetryPause)
 	}
-	f.inTouch.Store(false)
+	f.connected.Store(false)
 }
 
-// begunAnew tells whether a watch ended though the store answers, as far as is known.
-// What goes from the list right after an outage may have lapsed in it and is believed for
-// a while, so no outage is made up.
-func begunAnew(err error) bool {
+// isWatchRestart reports whether a watch ended although the store answers, as far as is known. Entries that
+// disappear right after an outage are kept for a while, as they may have lapsed in it, so a restart must not
+// count as an outage.
+func isWatchRestart(err error) bool {
 	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrDoubted) || errors.Is(err, errBehind)
 }
 
-func (f *follower) lost(err error) {
-	if !f.failed.IsZero() {
+func (f *follower) markLost(err error) {
+	if !f.failedSince.IsZero() {
 		return
 	}
-	f.failed = f.n.clock.Now()
-	f.inTouch.Store(false)
+	f.failedSince = f.n.clock.Now()
+	f.connected.Store(false)
 	storeUp.Add(f.name, -1)
 	f.n.log.Warn("store_lost", zap.String("reader", f.name), zap.String("cause", err.Error()))
 }
 
-func (f *follower) regained() {
-	f.inTouch.Store(true)
-	if f.failed.IsZero() {
+func (f *follower) markRegained() {
+	f.connected.Store(true)
+	if f.failedSince.IsZero() {
 		return
 	}
-	f.n.log.Info("store_regained", zap.String("reader", f.name), zap.Duration("after", f.n.clock.Since(f.failed)))
-	f.failed = time.Time{}
+	f.n.log.Info("store_regained", zap.String("reader", f.name), zap.Duration("after", f.n.clock.Since(f.failedSince)))
+	f.failedSince = time.Time{}
 	storeUp.Add(f.name, 1)
 }
 
-// followed notes that a node that watches has told this one what the store holds: it wasn't
-// away, though it may turn this node away. Without that, the node took what went from the
-// list for lapsed when it watched again itself, and sent requests to upstreams that had left.
-func (n *Node) followed() {
-	for _, f := range []*follower{n.listReader, n.catalogReader} {
-		if !f.failed.IsZero() {
-			f.failed = time.Time{}
+// markStoreAvailable records that a watcher has relayed the store's state to this node: there was no outage,
+// though the store may reject this node's own calls. Without that, the node took entries that disappeared for
+// lapsed when it watched again itself, and sent requests to upstreams that had left.
+func (n *Node) markStoreAvailable() {
+	for _, f := range []*follower{n.listFollower, n.catalogFollower} {
+		if !f.failedSince.IsZero() {
+			f.failedSince = time.Time{}
 			storeUp.Add(f.name, 1)
 		}
 	}
 }
 
-func (f *follower) follow(ctx context.Context) error {
+func (f *follower) readAndWatch(ctx context.Context) error {
 	r, err := f.n.kv.Range(ctx, f.prefix, store.PrefixEnd(f.prefix))
 	if err != nil {
 		return err
 	}
-	f.whole(r)
-	f.regained()
+	f.applySnapshot(r)
+	f.markRegained()
 	c, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	f.set(stop)
+	f.setCancel(stop)
 	span := store.Under(f.prefix, r.Revision+1)
-	span.Wait = f.wait
+	span.Wait = f.watchWait
 	err = f.n.kv.Watch(c, span, func(b store.WatchBatch) error {
-		f.regained()
-		f.change(b)
+		f.markRegained()
+		f.applyBatch(b)
 		if len(b.Events) > 0 {
-			return f.n.clock.Sleep(c, f.n.gather())
+			return f.n.clock.Sleep(c, f.n.batchDelay())
 		}
 		return nil
 	})
@@ -143,100 +142,100 @@
 	return err
 }
 
-// gather is how long changes are gathered in a fleet of this size.
-func (n *Node) gather() time.Duration {
+// batchDelay returns how long changes are batched in a fleet of this size.
+func (n *Node) batchDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	watching := min(n.peers.size(), watchersAHall*max(1, len(n.s.Halls)))
-	return min(gatherNode*time.Duration(watching), gatherLimit)
+	watching := min(n.peers.size(), watchersPerHall*max(1, len(n.settings.Halls)))
+	return min(batchDelayPerNode*time.Duration(watching), maxBatchDelay)
 }
 
-func (f *follower) set(stop context.CancelCauseFunc) {
+func (f *follower) setCancel(stop context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stop = stop
+	f.cancelWatch = stop
 }
 
-// again ends the watch under way: the range is read anew.
-func (f *follower) again() {
+// restart ends the watch in progress, so that the range is read again.
+func (f *follower) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stop != nil {
-		f.stop(errBehind)
+	if f.cancelWatch != nil {
+		f.cancelWatch(errBehind)
 	}
 }
 
-// noteChange takes in the newest change of the list that another node has heard of.
-func (n *Node) noteChange(peer string, change int64) {
+// recordListChange applies the newest change of the list that a peer has reported.
+func (n *Node) recordListChange(peer string, change int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.othersChange = max(n.othersChange, change)
+	n.peerListChange = max(n.peerListChange, change)
 	have := n.pools.Revision()
 	switch {
-	case have >= n.othersChange:
-		n.behind = time.Time{}
-	case n.behind.IsZero():
-		n.behind = now
-	case now.Sub(n.behind) > behindFor:
-		n.log.Warn("watch_behind", zap.String("reader", n.listReader.name), zap.String("peer", peer),
-			zap.Int64("revision", have), zap.Int64("change", n.othersChange), zap.Duration("for", now.Sub(n.behind)))
-		n.behind = now
-		n.listReader.again()
-		n.watchAlone(now)
+	case have >= n.peerListChange:
+		n.behindSince = time.Time{}
+	case n.behindSince.IsZero():
+		n.behindSince = now
+	case now.Sub(n.behindSince) > maxListLag:
+		n.log.Warn("watch_behind", zap.String("reader", n.listFollower.name), zap.String("peer", peer),
+			zap.Int64("revision", have), zap.Int64("change", n.peerListChange), zap.Duration("for", now.Sub(n.behindSince)))
+		n.behindSince = now
+		n.listFollower.restart()
+		n.startSelfWatch(now)
 	}
 }
 
-func (n *Node) catalogFollower() *follower {
-	take := func(p store.Pair) {
+func (n *Node) newCatalogFollower() *follower {
+	apply := func(p store.Pair) {
 		switch {
-		case p.Key == n.o.CatalogKey:
-			n.accept(p.Value, "store")
-		case strings.HasPrefix(p.Key, n.o.OrderPrefix):
-			n.takeOrder(p, "store")
+		case p.Key == n.options.CatalogKey:
+			n.applyCatalog(p.Value, "store")
+		case strings.HasPrefix(p.Key, n.options.OrderPrefix):
+			n.applyOrder(p, "store")
 		}
 	}
 	return &follower{
-		n: n, name: "catalog", prefix: n.o.OperatorPrefix, wait: catalogWait,
-		whole: func(r store.RangeResult) {
-			// Orders first: once there is a configuration, requests are served.
+		n: n, name: "catalog", prefix: n.options.OperatorPrefix, watchWait: catalogWatchWait,
+		applySnapshot: func(r store.RangeResult) {
+			// Orders first: requests are served as soon as there is a configuration.
 			slices.SortStableFunc(r.Pairs, func(a, b store.Pair) int { return strings.Compare(b.Key, a.Key) })
 			for _, p := range r.Pairs {
-				take(p)
+				apply(p)
 			}
 		},
-		change: func(b store.WatchBatch) {
+		applyBatch: func(b store.WatchBatch) {
 			for _, e := range b.Events {
 				switch {
 				case !e.Deleted:
-					take(e.Pair)
-				case strings.HasPrefix(e.Pair.Key, n.o.OrderPrefix):
-					n.takeBack(e.Pair.Key, e.Pair.Modified)
+					apply(e.Pair)
+				case strings.HasPrefix(e.Pair.Key, n.options.OrderPrefix):
+					n.withdrawOrder(e.Pair.Key, e.Pair.Modified)
 				}
 			}
 		},
 	}
 }
 
-func (n *Node) listFollower() *follower {
-	f := &follower{n: n, name: "upstreams", prefix: n.o.EntryPrefix, wait: listWait}
-	f.whole = func(r store.RangeResult) {
-		back := !f.failed.IsZero()
-		items, bad := n.items(r.Pairs)
-		n.update("store", func(now time.Time, l *pool.List) {
-			if back {
+func (n *Node) newListFollower() *follower {
+	f := &follower{n: n, name: "upstreams", prefix: n.options.EntryPrefix, watchWait: listWatchWait}
+	f.applySnapshot = func(r store.RangeResult) {
+		returned := !f.failedSince.IsZero()
+		items, undecodable := n.decodeEntries(r.Pairs)
+		n.updateList("store", func(now time.Time, l *pool.List) {
+			if returned {
 				l.StoreReturned(now)
 			}
 			l.Replace(now, r.Revision, items)
-			n.void(l, bad)
+			n.voidEntries(l, undecodable)
 		})
 		n.listed.Store(true)
-		n.knowsMore()
+		n.signalInitialized()
 	}
-	f.change = func(b store.WatchBatch) {
-		n.update("store", func(now time.Time, l *pool.List) {
+	f.applyBatch = func(b store.WatchBatch) {
+		n.updateList("store", func(now time.Time, l *pool.List) {
 			for _, e := range b.Events {
-				n.change(now, l, e)
+				n.applyListEvent(now, l, e)
 			}
 			l.Advance(b.Revision)
 		})
@@ -244,54 +243,54 @@
 	return f
 }
 
-func (n *Node) change(now time.Time, l *pool.List, e store.Event) {
+func (n *Node) applyListEvent(now time.Time, l *pool.List, e store.Event) {
 	if e.Deleted {
 		l.Remove(now, e.Pair.Modified, n.entryID(e.Pair.Key))
 		return
 	}
-	items, bad := n.items([]store.Pair{e.Pair})
+	items, undecodable := n.decodeEntries([]store.Pair{e.Pair})
 	for _, v := range items {
 		l.Put(v)
 	}
-	n.void(l, bad)
+	n.voidEntries(l, undecodable)
 }
 
-func (n *Node) entryID(key string) string { return key[min(len(n.o.EntryPrefix), len(key)):] }
+func (n *Node) entryID(key string) string { return key[min(len(n.options.EntryPrefix), len(key)):] }
 
-// void takes in keys whose values can't be read.
-func (n *Node) void(l *pool.List, bad []store.Pair) {
-	for _, p := range bad {
+// voidEntries marks the entries whose values can't be decoded.
+func (n *Node) voidEntries(l *pool.List, pairs []store.Pair) {
+	for _, p := range pairs {
 		l.MarkUnreadable(p.Modified, n.entryID(p.Key))
 	}
 }
 
-// items reads entries, and returns the pairs that can't be read.
-func (n *Node) items(pairs []store.Pair) (sound []pool.Item, bad []store.Pair) {
-	sound = make([]pool.Item, 0, len(pairs))
+// decodeEntries decodes entries, and returns the pairs that can't be decoded.
+func (n *Node) decodeEntries(pairs []store.Pair) (decoded []pool.Item, undecodable []store.Pair) {
+	decoded = make([]pool.Item, 0, len(pairs))
 	for _, p := range pairs {
-		e, err := n.o.DecodeEntry(p.Key, p.Value)
+		e, err := n.options.DecodeEntry(p.Key, p.Value)
 		if err != nil {
-			n.unreadable.note(n.log, p, err)
-			bad = append(bad, p)
+			n.unreadableEntries.record(n.log, p, err)
+			undecodable = append(undecodable, p)
 			continue
 		}
-		n.unreadable.sound(p.Key)
-		sound = append(sound, pool.Item{Entry: e, Revision: p.Modified})
+		n.unreadableEntries.clear(p.Key)
+		decoded = append(decoded, pool.Item{Entry: e, Revision: p.Modified})
 	}
-	return sound, bad
+	return decoded, undecodable
 }
 
-// unreadable is the keys whose entries can't be read, with the reasons that were logged. It is
-// the list's reader's own.
-type unreadable map[string]string
+// unreadableEntries maps the keys of undecodable entries to the reasons that were logged. Only the list
+// follower uses it.
+type unreadableEntries map[string]string
 
-// unreadableLimit bounds the keys whose reasons are remembered, and so the lines on them.
-const unreadableLimit = 256
+// maxUnreadableEntries bounds the remembered keys, and so the log lines about them.
+const maxUnreadableEntries = 256
 
-// note logs a key and its reason, once.
-func (u unreadable) note(log *zap.Logger, p store.Pair, err error) {
+// record logs a key and its reason once.
+func (u unreadableEntries) record(log *zap.Logger, p store.Pair, err error) {
 	reason := err.Error()
-	if u[p.Key] == reason || len(u) >= unreadableLimit {
+	if u[p.Key] == reason || len(u) >= maxUnreadableEntries {
 		return
 	}
 	u[p.Key] = reason
@@ -299,14 +298,14 @@
 	log.Warn("entry_unreadable", zap.String("key", p.Key), zap.Int64("revision", p.Modified), zap.String("cause", reason))
 }
 
-func (u unreadable) sound(key string) { delete(u, key) }
+func (u unreadableEntries) clear(key string) { delete(u, key) }
 
-// update changes the list, and tells what became of it.
-func (n *Node) update(source string, f func(now time.Time, l *pool.List)) {
+// updateList changes the list and logs the resulting events.
+func (n *Node) updateList(source string, f func(now time.Time, l *pool.List)) {
 	before := n.pools.LastChange()
 	changes := n.pools.Update(func(l *pool.List) { f(n.clock.Now(), l) })
 	if len(changes) > 0 || n.pools.LastChange() != before {
-		n.news.announceList()
+		n.changes.announceList()
 	}
 	for _, c := range changes {
 		upstreamEvents.Add(c.Event, 1)
@@ -320,11 +319,11 @@
 	}
 }
 
-// expireEvery is how often entries that went missing in an outage are looked at.
-const expireEvery = 200 * time.Millisecond
+// expireInterval is how often entries that went missing in an outage are checked.
+const expireInterval = 200 * time.Millisecond
 
-func (n *Node) expire(ctx context.Context) {
-	n.clock.Every(ctx, expireEvery, func(time.Time) {
-		n.update("lapsed", func(now time.Time, l *pool.List) { l.Expire(now) })
+func (n *Node) expireMissing(ctx context.Context) {
+	n.clock.Every(ctx, expireInterval, func(time.Time) {
+		n.updateList("lapsed", func(now time.Time, l *pool.List) { l.Expire(now) })
 	})
 }
