--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -110,12 +110,12 @@
 	usage   *usage.Book
 	peers   *table
 	notes   notes
-	book    *relay.Book     // what this node knows as a relay
-	view    relay.View      // what it knows by its relay
-	home    string          // the relay that it reports to
-	relayed time.Time       // when the last digest came
-	covered map[string]bool // the nodes that it told of
-	placing time.Time       // from when on a relay is asked to place requests
+	book    *relay.Aggregator // what this node knows as a relay
+	view    relay.View        // what it knows by its relay
+	home    string            // the relay that it reports to
+	relayed time.Time         // when the last digest came
+	covered map[string]bool   // the nodes that it told of
+	placing time.Time         // from when on a relay is asked to place requests
 
 	othersChange int64         // newest change of the list that other nodes told of
 	behind       time.Time     // since when this node lacks it; zero: it doesn't
@@ -149,7 +149,7 @@
 	n.quotas = quota.New(n.start, s.FirstStart)
 	n.usage = usage.New(s.Node, o.Lifetime, s.UsageWindow)
 	n.peers = newTable(n)
-	n.book = relay.NewBook(s.Node, o.Lifetime)
+	n.book = relay.NewAggregator(s.Node, o.Lifetime)
 	n.suspects = quarantine.NewBook(s.Node)
 	n.rollouts = newRollouts()
 	n.catalogReader = n.catalogFollower()
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	n.book.Gather(now, message.RelayReport(r))
+	n.book.ApplyReport(now, message.RelayReport(r))
 	_, version := n.view.Known(n.s.Node)
 	d := n.book.Digest(now, n.s.Node, version)
 	n.home = n.s.Node
@@ -144,7 +144,7 @@
 	n.noteRelay(p, err)
 	if err == nil {
 		n.mu.Lock()
-		n.book.Away(name)
+		n.book.OwnNodeMoved(name)
 		n.mu.Unlock()
 		n.takeGathered(name, a.Msg)
 	}
@@ -208,7 +208,7 @@
 // those that the share tells of by now. The node's lock is held.
 func (n *Node) settle(shares []pool.Share) {
 	shares[0].Whole = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(reportTakes)) })
+	n.pools.Settle(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(reportTakes)) })
 }
 
 // swapAll swaps with the other relays whose turn it is.
@@ -259,10 +259,10 @@
 // groupFor is this relay's word for another one that knows it up to a version. The node's
 // lock is held.
 func (n *Node) groupFor(name, lifetime string, version uint64) *wire.Group {
-	v := n.book.Group(n.clock.Now(), n.book.Version(lifetime, version))
+	v := n.book.Group(n.clock.Now(), n.book.BaseVersion(lifetime, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
 	g := message.GroupToWire(v)
-	g.KnownLifetime, g.KnownVersion = n.book.Known(name)
+	g.KnownLifetime, g.KnownVersion = n.book.KnownVersion(name)
 	g.Suspicions = n.suspicions()
 	g.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	return g
@@ -276,7 +276,7 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	g := message.GroupFromWire(w)
-	n.book.TakeIn(now, g)
+	n.book.MergeGroup(now, g)
 	for _, c := range g.Changes {
 		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
 	}
@@ -300,8 +300,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.book.Gather(now, message.RelayReport(v))
-	d := n.book.Digest(now, v.Node, n.book.Version(r.Msg.Lifetime, r.Msg.Version))
+	n.book.ApplyReport(now, message.RelayReport(v))
+	d := n.book.Digest(now, v.Node, n.book.BaseVersion(r.Msg.Lifetime, r.Msg.Version))
 	a := message.DigestToWire(d)
 	a.Suspicions = n.suspicions()
 	a.Limits = message.LimitsToWire(now, n.pools.Limits())
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -49,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		now := clock.Service().Now()
-		p, book := pool.New(clock.Service(), "a", "h"), relay.NewBook("a", "l")
+		p, book := pool.New(clock.Service(), "a", "h"), relay.NewAggregator("a", "l")
 		p.Update(func(l *pool.List) {
 			l.Put(pool.Item{Entry: pool.Entry{ID: "u", Service: "s", Address: "10.0.0.1:1", Slots: 8}, Revision: 1})
 		})
@@ -58,7 +58,7 @@
 			v := GroupFromWire(&g)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Share.Loads)
-			book.TakeIn(now, v)
+			book.MergeGroup(now, v)
 		}
 		var d wire.GatherResponse
 		if proto.Unmarshal(b, &d) == nil {
@@ -74,7 +74,7 @@
 			v := RelayReport(&r)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
-			book.Gather(now, v)
+			book.ApplyReport(now, v)
 			p.TakeIn("n", v.Loads, v.Placed, nil)
 			p.TakeReach(v.Reach)
 		}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -92,7 +92,7 @@
 type node struct {
 	name, hall string
 	pools      *pool.Pools
-	book       *relay.Book
+	book       *relay.Aggregator
 	view       relay.View
 	sequence   uint64
 }
@@ -142,7 +142,7 @@
 	}
 	for i := 0; i < p.l.Nodes; i++ {
 		n := &node{name: fmt.Sprint("node-", i), hall: hall(i), pools: pool.New(p.clock.Service(), fmt.Sprint("node-", i), hall(i))}
-		n.book = relay.NewBook(n.name, "1")
+		n.book = relay.NewAggregator(n.name, "1")
 		n.pools.Update(func(l *pool.List) { l.Replace(p.clock.Service().Now(), 1, items) })
 		n.pools.SetSize(service, capacity.Size{Slots: p.l.Engine.Slots, Memory: p.l.Engine.Memory, Fetch: p.l.Engine.Fetch})
 		p.nodes = append(p.nodes, n)
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -88,7 +88,7 @@
 type rolloutNode struct {
 	name, hall string
 	trial      *rollout.Trial
-	book       *relay.Book
+	book       *relay.Aggregator
 	view       relay.View
 	lifetime   int
 	sequence   uint64
@@ -157,7 +157,7 @@
 func (p *rolloutPlay) begin(n *rolloutNode) {
 	n.lifetime++
 	n.sequence, n.view, n.down = 0, relay.View{}, false
-	n.book = relay.NewBook(n.name, fmt.Sprint(n.lifetime))
+	n.book = relay.NewAggregator(n.name, fmt.Sprint(n.lifetime))
 	n.trial = rollout.NewTrial(p.state.Order, p.l.Exposure, func(string) float64 { return p.random.Float64() })
 	n.trial.Raise(p.time(), ended(p.stored.Stage))
 }
@@ -301,13 +301,13 @@
 	r := relay.Report{Node: n.name, Lifetime: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Word{word(n.trial)}}
 	ordered := p.hallOf(n.hall)
 	if h := p.home(n, ordered); h == n {
-		n.book.Gather(p.time(), r)
+		n.book.ApplyReport(p.time(), r)
 		n.book.Expire(p.time())
 		p.take(n, n.book.Digest(p.time(), n.name, 0))
 		p.swapRelays(n)
 	} else if h != nil {
 		p.after(hop, func() {
-			h.book.Gather(p.time(), r)
+			h.book.ApplyReport(p.time(), r)
 			d := h.book.Digest(p.time(), n.name, 0)
 			p.after(hop, func() { p.take(n, d) })
 		})
@@ -365,8 +365,8 @@
 		for _, name := range relay.Relays(p.hallOf(hall)) {
 			if o := p.named(name); name > n.name {
 				p.after(hop, func() {
-					o.book.TakeIn(p.time(), n.book.Group(p.time(), 0))
-					n.book.TakeIn(p.time(), o.book.Group(p.time(), 0))
+					o.book.MergeGroup(p.time(), n.book.Group(p.time(), 0))
+					n.book.MergeGroup(p.time(), o.book.Group(p.time(), 0))
 				})
 			}
 		}
--- a/internal/model/spread.go
+++ b/internal/model/spread.go
@@ -62,7 +62,7 @@
 	ordered := p.hallOf(n.hall)
 	now := p.clock.Service().Now()
 	if slices.Contains(relay.Relays(ordered), n.name) {
-		n.book.Gather(now, r)
+		n.book.ApplyReport(now, r)
 		n.book.Expire(now)
 		p.digest(n)
 		p.swapRelays(n)
@@ -71,9 +71,9 @@
 	h := p.named(relay.Homes(n.name, ordered)[0])
 	p.after(hop, func() {
 		now := p.clock.Service().Now()
-		h.book.Gather(now, r)
+		h.book.ApplyReport(now, r)
 		lifetime, version := n.view.Known(h.name)
-		d := h.book.Digest(now, n.name, h.book.Version(lifetime, version))
+		d := h.book.Digest(now, n.name, h.book.BaseVersion(lifetime, version))
 		p.after(hop, func() { p.take(n, h, d) })
 	})
 }
@@ -114,12 +114,12 @@
 
 func (p *play) group(from, to *node) {
 	now := p.clock.Service().Now()
-	lifetime, version := to.book.Known(from.name)
-	g := from.book.Group(now, from.book.Version(lifetime, version))
+	lifetime, version := to.book.KnownVersion(from.name)
+	g := from.book.Group(now, from.book.BaseVersion(lifetime, version))
 	if p.l.Spread == SpreadPlaced {
 		g.Share.Loads = append(g.Share.Loads, from.pools.Pending()...)
 	}
-	to.book.TakeIn(now, g)
+	to.book.MergeGroup(now, g)
 	if p.l.Spread == SpreadPlaced {
 		p.digest(to)
 	}
@@ -132,7 +132,7 @@
 	d := n.book.Digest(now, n.name, version)
 	if p.l.Spread == SpreadPlaced {
 		d.Shares[0].Whole = true
-		n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(hop)) })
+		n.pools.Settle(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(hop)) })
 	}
 	p.take(n, n, d)
 }
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -41,7 +41,7 @@
 	load       int // requests at the one upstream
 	placed     []pool.Placement
 
-	book  *Book
+	book  *Aggregator
 	view  View
 	usage *usage.Book
 	words map[string]Word // of the last digest
@@ -64,7 +64,7 @@
 	f.lives++
 	n.alive, n.life, n.began, n.sequence = true, fmt.Sprint("life-", f.lives), f.now, 0
 	n.spent, n.started, n.load, n.placed = map[string]float64{}, usage.Windows{}, 0, nil
-	n.book, n.view, n.words, n.share = NewBook(n.name, n.life), View{}, nil, nil
+	n.book, n.view, n.words, n.share = NewAggregator(n.name, n.life), View{}, nil, nil
 	n.usage = usage.New(n.name, n.life, window)
 }
 
@@ -127,20 +127,20 @@
 	n.book.Expire(f.now)
 	ordered := f.hallOf(n, n.hall)
 	if slices.Contains(Relays(ordered), n.name) {
-		n.book.Gather(f.now, r)
+		n.book.ApplyReport(f.now, r)
 		f.swapAll(n)
 		_, version := n.view.Known(n.name)
 		n.take(f.now, n.name, n.book.Digest(f.now, n.name, version))
 		return
 	}
 	h := f.byName(Homes(n.name, ordered)[0])
-	n.book.Away(h.name)
+	n.book.OwnNodeMoved(h.name)
 	f.calls[n.name]++
 	f.calls[h.name]++
 	h.usage.TakeIn(n.name, n.life, r.Started)
-	h.book.Gather(f.now, r)
+	h.book.ApplyReport(f.now, r)
 	lifetime, version := n.view.Known(h.name)
-	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.Version(lifetime, version)))
+	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.BaseVersion(lifetime, version)))
 }
 
 func (n *node) take(now time.Time, relay string, d Digest) {
@@ -169,9 +169,9 @@
 }
 
 func (f *fleet) tell(from, to *node) {
-	lifetime, version := to.book.Known(from.name)
-	g := from.book.Group(f.now, from.book.Version(lifetime, version))
-	to.book.TakeIn(f.now, g)
+	lifetime, version := to.book.KnownVersion(from.name)
+	g := from.book.Group(f.now, from.book.BaseVersion(lifetime, version))
+	to.book.MergeGroup(f.now, g)
 	for _, c := range g.Changes {
 		to.usage.TakeIn(c.Node, c.Lifetime, c.Started)
 	}
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -13,7 +13,7 @@
 
 // Group returns what is new of this relay's own nodes after a version of this book. An
 // asker that doesn't know this process gives version 0.
-func (b *Book) Group(now time.Time, after uint64) Group {
+func (b *Aggregator) Group(now time.Time, after uint64) Group {
 	g := Group{Relay: b.self, Lifetime: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
 	g.Changes, g.Version = b.changes(now, after, func(_ string, v *record) uint64 {
 		if v.relay != b.self {
@@ -33,8 +33,8 @@
 	return g
 }
 
-// Heard returns when a node was last heard.
-func (b *Book) Heard(node string) time.Time {
+// LastSeen returns when a node was last heard.
+func (b *Aggregator) LastSeen(node string) time.Time {
 	if v := b.records[node]; v != nil {
 		return v.heard
 	}
@@ -42,7 +42,7 @@
 }
 
 // Digest returns what is new to a node after a version of this book.
-func (b *Book) Digest(now time.Time, asker string, after uint64) Digest {
+func (b *Aggregator) Digest(now time.Time, asker string, after uint64) Digest {
 	d := Digest{Lifetime: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
 	for name, g := range b.groups {
 		if age := now.Sub(g.heard); age <= recordKeeps {
@@ -63,7 +63,7 @@
 }
 
 // reach is what this relay's nodes, which are of one hall, have found out but for one of them.
-func (b *Book) reach(now time.Time, but string) pool.Reach {
+func (b *Aggregator) reach(now time.Time, but string) pool.Reach {
 	var sum pool.Reach
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
@@ -75,7 +75,7 @@
 
 // otherTrials is what the other relays' nodes have seen of roll-outs. A relay that isn't heard
 // doesn't count: its nodes tell the same through another one, or are cut off.
-func (b *Book) otherTrials(now time.Time) []rollout.Word {
+func (b *Aggregator) otherTrials(now time.Time) []rollout.Word {
 	var sum []rollout.Word
 	for _, g := range b.groups {
 		if now.Sub(g.heard) <= silentAfter {
@@ -87,7 +87,7 @@
 
 // ownTrials is what this relay's nodes have seen of roll-outs, but for one of them, those
 // included that aren't heard any more: what they saw stays true.
-func (b *Book) ownTrials(but string) []rollout.Word {
+func (b *Aggregator) ownTrials(but string) []rollout.Word {
 	var sum []rollout.Word
 	for name, v := range b.records {
 		if v.relay != b.self {
@@ -103,12 +103,12 @@
 
 // Shares returns what all nodes but one have: first the nodes of this relay, then those of
 // the others.
-func (b *Book) Shares(now time.Time, but string) []pool.Share {
+func (b *Aggregator) Shares(now time.Time, but string) []pool.Share {
 	return []pool.Share{b.own(now, but), b.others(now)}
 }
 
 // own is what this relay's nodes have, but for one of them.
-func (b *Book) own(now time.Time, but string) pool.Share {
+func (b *Aggregator) own(now time.Time, but string) pool.Share {
 	var s sum
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
@@ -119,7 +119,7 @@
 }
 
 // others is what the other relays' nodes have.
-func (b *Book) others(now time.Time) pool.Share {
+func (b *Aggregator) others(now time.Time) pool.Share {
 	var s sum
 	for _, g := range b.groups {
 		if age := now.Sub(g.heard); age <= silentAfter {
@@ -132,7 +132,7 @@
 // changes returns the records that changed after a version, the oldest changes first, and
 // the version up to which they are told. newest is the version of a record's newest change,
 // 0 if it isn't told.
-func (b *Book) changes(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
+func (b *Aggregator) changes(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
 	type dated struct {
 		node  string
 		since uint64 // version of the oldest change that isn't told
@@ -183,7 +183,7 @@
 	return c
 }
 
-func (b *Book) placements(after, upto uint64, counts func(placing) bool) []pool.Placement {
+func (b *Aggregator) placements(after, upto uint64, counts func(placing) bool) []pool.Placement {
 	var list []pool.Placement
 	for _, p := range b.placed {
 		if p.version > after && p.version <= upto && counts(p) {
