--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -107,7 +107,7 @@
 	if len(served) == 0 {
 		served = heard
 	}
-	names := relay.Order(served)
+	names := relay.RankNodes(served)
 	return names[:min(len(names), watchersAHall)]
 }
 
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -82,12 +82,12 @@
 	if !slices.Contains(relay.Relays(ordered), n.s.Node) {
 		n.mu.Unlock()
 		if len(ordered) > 0 {
-			n.reportTo(ctx, relay.Homes(n.s.Node, ordered)[0], r)
+			n.reportTo(ctx, relay.ReportTargets(n.s.Node, ordered)[0], r)
 		}
 		return
 	}
 	n.book.ApplyReport(now, message.RelayReport(r))
-	_, version := n.view.Known(n.s.Node)
+	_, version := n.view.KnownVersion(n.s.Node)
 	d := n.book.Digest(now, n.s.Node, version)
 	n.home = n.s.Node
 	n.mu.Unlock()
@@ -108,7 +108,7 @@
 			nodes[p.name] = p.cores
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 // isThere tells whether another node is heard or stands in the registry. The node's lock is held.
@@ -133,7 +133,7 @@
 func (n *Node) reportTo(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
-	lifetime, version := n.view.Known(name)
+	lifetime, version := n.view.KnownVersion(name)
 	n.mu.Unlock()
 	if p == nil {
 		return
@@ -179,12 +179,12 @@
 func (n *Node) takeDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
-	words := n.view.Take(now, name, d)
+	words := n.view.ApplyDigest(now, name, d)
 	covered := make(map[string]bool, len(words))
 	for _, w := range words {
 		covered[w.Node] = true
-		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Lifetime && p.sequence > w.Sequence) {
-			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
+		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Incarnation && p.sequence > w.Sequence) {
+			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Incarnation, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
 	n.relayed, n.covered, n.rollouts.others = now, covered, d.Trials
@@ -194,7 +194,7 @@
 	}
 	n.mu.Unlock()
 	n.pools.TakeShares(d.Shares, covered, d.Placed)
-	n.takeReach(d.Reach)
+	n.takeReach(d.Reachability)
 }
 
 // takeReach takes in what the other nodes of the hall couldn't reach.
@@ -278,7 +278,7 @@
 	g := message.GroupFromWire(w)
 	n.book.MergeGroup(now, g)
 	for _, c := range g.Changes {
-		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		n.usage.TakeIn(c.Node, c.Incarnation, c.Started)
 	}
 	if n.home == n.s.Node {
 		shares := n.book.Shares(now, n.s.Node)
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -65,9 +65,9 @@
 			v := DigestFromWire(&d)
 			assertTrials(t, v.Trials)
 			var view relay.View
-			view.Take(now, "r", v)
+			view.ApplyDigest(now, "r", v)
 			p.TakeShares(v.Shares, map[string]bool{"n": true}, v.Placed)
-			p.TakeReach(v.Reach)
+			p.TakeReach(v.Reachability)
 		}
 		var r wire.NodeReport
 		if proto.Unmarshal(b, &r) == nil {
@@ -76,7 +76,7 @@
 			assertLoads(t, v.Loads)
 			book.ApplyReport(now, v)
 			p.TakeIn("n", v.Loads, v.Placed, nil)
-			p.TakeReach(v.Reach)
+			p.TakeReach(v.Reachability)
 		}
 		var i wire.ListItem
 		if proto.Unmarshal(b, &i) == nil {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -108,9 +108,9 @@
 // RelayReport returns what a relay takes from a node's report.
 func RelayReport(r *wire.NodeReport) relay.Report {
 	return relay.Report{
-		Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: Millis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
+		Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: Millis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
 		Placed: PlacedFromWire(r.Placed), Spent: SpentFromWire(r.Spent), Started: StartedFromWire(r.Started),
-		Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
+		Trials: TrialsFromWire(r.Trials), Reachability: ReachFromWire(r.Reach),
 	}
 }
 
@@ -192,8 +192,8 @@
 	r := make([]*wire.Change, len(l))
 	for i, c := range l {
 		r[i] = &wire.Change{
-			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, UptimeMs: c.Uptime.Milliseconds(), AgeMs: c.Age.Milliseconds(),
-			Relay: c.Relay, Silent: c.Silent, Spent: SpentToWire(c.Spent), Started: StartedToWire(c.Started),
+			Node: c.Node, Lifetime: c.Incarnation, Sequence: c.Sequence, UptimeMs: c.Uptime.Milliseconds(), AgeMs: c.Age.Milliseconds(),
+			Relay: c.Relay, Silent: c.Unresponsive, Spent: SpentToWire(c.Spent), Started: StartedToWire(c.Started),
 		}
 	}
 	return r
@@ -204,8 +204,8 @@
 	r := make([]relay.Change, len(l))
 	for i, c := range l {
 		r[i] = relay.Change{
-			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, Uptime: Millis(c.UptimeMs), Age: Millis(c.AgeMs),
-			Relay: c.Relay, Silent: c.Silent, Spent: SpentFromWire(c.Spent), Started: StartedFromWire(c.Started),
+			Node: c.Node, Incarnation: c.Lifetime, Sequence: c.Sequence, Uptime: Millis(c.UptimeMs), Age: Millis(c.AgeMs),
+			Relay: c.Relay, Unresponsive: c.Silent, Spent: SpentFromWire(c.Spent), Started: StartedFromWire(c.Started),
 		}
 	}
 	return r
@@ -214,7 +214,7 @@
 // GroupToWire returns a relay's message to another one.
 func GroupToWire(g relay.Group) *wire.Group {
 	return &wire.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacedToWire(g.Placed),
+		Relay: g.Relay, Lifetime: g.Incarnation, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacedToWire(g.Placed),
 		Trials: TrialsToWire(g.Trials),
 	}
 }
@@ -222,14 +222,14 @@
 // GroupFromWire is the inverse of GroupToWire.
 func GroupFromWire(g *wire.Group) relay.Group {
 	return relay.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacedFromWire(g.Placed),
+		Relay: g.Relay, Incarnation: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacedFromWire(g.Placed),
 		Trials: TrialsFromWire(g.Trials),
 	}
 }
 
 // DigestToWire returns a relay's message to a node that reports to it.
 func DigestToWire(d relay.Digest) *wire.GatherResponse {
-	r := &wire.GatherResponse{Lifetime: d.Lifetime, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacedToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reach)}
+	r := &wire.GatherResponse{Lifetime: d.Incarnation, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacedToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reachability)}
 	for _, s := range d.Shares {
 		r.Shares = append(r.Shares, ShareToWire(s))
 	}
@@ -242,7 +242,7 @@
 // DigestFromWire is the inverse of DigestToWire.
 func DigestFromWire(r *wire.GatherResponse) relay.Digest {
 	d := relay.Digest{
-		Lifetime: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacedFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
+		Incarnation: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacedFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reachability: ReachFromWire(r.Reach),
 		Relays: make(map[string]time.Duration, len(r.Relays)),
 	}
 	for _, s := range r.Shares {
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -42,8 +42,8 @@
 	})
 	changes = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) relay.Change {
 		c := relay.Change{
-			Node: names.Draw(t, "node"), Lifetime: names.Draw(t, "lifetime"), Sequence: rapid.Uint64().Draw(t, "sequence"), Uptime: ages.Draw(t, "uptime"),
-			Age: ages.Draw(t, "age"), Relay: names.Draw(t, "relay"), Silent: rapid.Bool().Draw(t, "silent"),
+			Node: names.Draw(t, "node"), Incarnation: names.Draw(t, "lifetime"), Sequence: rapid.Uint64().Draw(t, "sequence"), Uptime: ages.Draw(t, "uptime"),
+			Age: ages.Draw(t, "age"), Relay: names.Draw(t, "relay"), Unresponsive: rapid.Bool().Draw(t, "silent"),
 			Spent: rapid.MapOfN(names, rapid.Float64Range(0, 1e9), 0, 3).Draw(t, "spent"), Started: make(usage.Windows),
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "windows") {
@@ -82,7 +82,7 @@
 	t.Run("a relay's word to another", func(t *testing.T) {
 		rapid.Check(t, func(t *rapid.T) {
 			g := relay.Group{
-				Relay: names.Draw(t, "relay"), Lifetime: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Share: shares.Draw(t, "share"),
+				Relay: names.Draw(t, "relay"), Incarnation: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Share: shares.Draw(t, "share"),
 				Changes: changes.Draw(t, "changes"), Placed: placed.Draw(t, "placed"), Trials: trials.Draw(t, "trials"),
 			}
 			var m wire.Group
@@ -93,8 +93,8 @@
 	t.Run("a relay's word to a node", func(t *testing.T) {
 		rapid.Check(t, func(t *rapid.T) {
 			d := relay.Digest{
-				Lifetime: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Relays: rapid.MapOfN(names, ages, 0, 3).Draw(t, "relays"),
-				Changes: changes.Draw(t, "changes"), Placed: placed.Draw(t, "placed"), Trials: trials.Draw(t, "trials"), Reach: reaches.Draw(t, "reach"),
+				Incarnation: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Relays: rapid.MapOfN(names, ages, 0, 3).Draw(t, "relays"),
+				Changes: changes.Draw(t, "changes"), Placed: placed.Draw(t, "placed"), Trials: trials.Draw(t, "trials"), Reachability: reaches.Draw(t, "reach"),
 			}
 			for range rapid.IntRange(0, 2).Draw(t, "shares") {
 				d.Shares = append(d.Shares, shares.Draw(t, "share"))
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -298,7 +298,7 @@
 		return
 	}
 	n.sequence++
-	r := relay.Report{Node: n.name, Lifetime: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Word{word(n.trial)}}
+	r := relay.Report{Node: n.name, Incarnation: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Word{word(n.trial)}}
 	ordered := p.hallOf(n.hall)
 	if h := p.home(n, ordered); h == n {
 		n.book.ApplyReport(p.time(), r)
@@ -328,7 +328,7 @@
 			nodes[n.name] = 1
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 func (p *rolloutPlay) named(name string) *rolloutNode {
@@ -346,7 +346,7 @@
 			return n
 		}
 	}
-	return p.named(relay.Homes(n.name, ordered)[0])
+	return p.named(relay.ReportTargets(n.name, ordered)[0])
 }
 
 func (p *rolloutPlay) take(n *rolloutNode, d relay.Digest) {
--- a/internal/model/spread.go
+++ b/internal/model/spread.go
@@ -48,7 +48,7 @@
 			nodes[n.name] = 1
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 func (p *play) named(name string) *node {
@@ -58,7 +58,7 @@
 func (p *play) tellRelay(n *node) {
 	loads, placed := n.pools.Report()
 	n.sequence++
-	r := relay.Report{Node: n.name, Lifetime: "1", Sequence: n.sequence, Uptime: p.now, Loads: loads, Placed: placed}
+	r := relay.Report{Node: n.name, Incarnation: "1", Sequence: n.sequence, Uptime: p.now, Loads: loads, Placed: placed}
 	ordered := p.hallOf(n.hall)
 	now := p.clock.Service().Now()
 	if slices.Contains(relay.Relays(ordered), n.name) {
@@ -68,11 +68,11 @@
 		p.swapRelays(n)
 		return
 	}
-	h := p.named(relay.Homes(n.name, ordered)[0])
+	h := p.named(relay.ReportTargets(n.name, ordered)[0])
 	p.after(hop, func() {
 		now := p.clock.Service().Now()
 		h.book.ApplyReport(now, r)
-		lifetime, version := n.view.Known(h.name)
+		lifetime, version := n.view.KnownVersion(h.name)
 		d := h.book.Digest(now, n.name, h.book.BaseVersion(lifetime, version))
 		p.after(hop, func() { p.take(n, h, d) })
 	})
@@ -81,7 +81,7 @@
 // pick chooses an engine for a request of a node.
 func (p *play) pick(n *node, need pool.Need) *pool.Use {
 	if p.l.Spread == SpreadPlaced {
-		if h := p.named(relay.Homes(n.name, p.hallOf(n.hall))[0]); h != n {
+		if h := p.named(relay.ReportTargets(n.name, p.hallOf(n.hall))[0]); h != n {
 			return n.pools.PickAt(need, h.pools.PlaceFor(n.name, need))
 		}
 	}
@@ -90,7 +90,7 @@
 
 func (p *play) take(n, from *node, d relay.Digest) {
 	covered := make(map[string]bool)
-	for _, w := range n.view.Take(p.clock.Service().Now(), from.name, d) {
+	for _, w := range n.view.ApplyDigest(p.clock.Service().Now(), from.name, d) {
 		covered[w.Node] = true
 	}
 	n.pools.TakeShares(d.Shares, covered, d.Placed)
@@ -128,7 +128,7 @@
 // digest takes in what a relay knows by itself.
 func (p *play) digest(n *node) {
 	now := p.clock.Service().Now()
-	_, version := n.view.Known(n.name)
+	_, version := n.view.KnownVersion(n.name)
 	d := n.book.Digest(now, n.name, version)
 	if p.l.Spread == SpreadPlaced {
 		d.Shares[0].Whole = true
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -77,11 +77,11 @@
 
 // ApplyReport takes in a report of a node that reports here.
 func (b *Aggregator) ApplyReport(now time.Time, r Report) {
-	v := b.record(r.Node, r.Lifetime, r.Sequence, now.Add(-r.Uptime))
+	v := b.record(r.Node, r.Incarnation, r.Sequence, now.Add(-r.Uptime))
 	if v == nil {
 		return
 	}
-	v.loads, v.trials, v.reach = r.Loads, r.Trials, r.Reach
+	v.loads, v.trials, v.reach = r.Loads, r.Trials, r.Reachability
 	b.move(now, v, b.self)
 	b.spend(v, r.Spent)
 	b.count(v, r.Started)
@@ -223,10 +223,10 @@
 	if g.Relay == b.self {
 		return
 	}
-	if old := b.groups[g.Relay]; old != nil && old.lifetime != g.Lifetime {
+	if old := b.groups[g.Relay]; old != nil && old.lifetime != g.Incarnation {
 		b.orphan(g.Relay)
 	}
-	b.groups[g.Relay] = &group{lifetime: g.Lifetime, version: g.Version, heard: now, share: g.Share, trials: g.Trials}
+	b.groups[g.Relay] = &group{lifetime: g.Incarnation, version: g.Version, heard: now, share: g.Share, trials: g.Trials}
 	for _, c := range g.Changes {
 		b.takeChange(now, g.Relay, c)
 	}
@@ -258,14 +258,14 @@
 		return
 	}
 	at := now.Add(-c.Age)
-	v := b.record(c.Node, c.Lifetime, c.Sequence, at.Add(-c.Uptime))
+	v := b.record(c.Node, c.Incarnation, c.Sequence, at.Add(-c.Uptime))
 	if v != nil {
 		b.spend(v, c.Spent)
 		b.count(v, c.Started)
-	} else if v = b.records[c.Node]; v.lifetime != c.Lifetime || v.relay != relay {
+	} else if v = b.records[c.Node]; v.lifetime != c.Incarnation || v.relay != relay {
 		return // it has come to another relay since: that one has a later report
 	}
-	if !c.Silent {
+	if !c.Unresponsive {
 		b.move(at, v, relay)
 	} else if !v.silent {
 		b.move(at, v, relay)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -44,7 +44,7 @@
 	book  *Aggregator
 	view  View
 	usage *usage.Book
-	words map[string]Word // of the last digest
+	words map[string]Update // of the last digest
 	share []pool.Share
 }
 
@@ -95,7 +95,7 @@
 			nodes[o.name] = 1
 		}
 	}
-	return Order(nodes)
+	return RankNodes(nodes)
 }
 
 func (n *node) report() Report {
@@ -105,7 +105,7 @@
 		started[k] = maps.Clone(c)
 	}
 	r := Report{
-		Node: n.name, Lifetime: n.life, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
+		Node: n.name, Incarnation: n.life, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
 		Loads: []pool.Load{{Upstream: "u", Running: n.load}},
 	}
 	return r
@@ -129,23 +129,23 @@
 	if slices.Contains(Relays(ordered), n.name) {
 		n.book.ApplyReport(f.now, r)
 		f.swapAll(n)
-		_, version := n.view.Known(n.name)
+		_, version := n.view.KnownVersion(n.name)
 		n.take(f.now, n.name, n.book.Digest(f.now, n.name, version))
 		return
 	}
-	h := f.byName(Homes(n.name, ordered)[0])
+	h := f.byName(ReportTargets(n.name, ordered)[0])
 	n.book.OwnNodeMoved(h.name)
 	f.calls[n.name]++
 	f.calls[h.name]++
 	h.usage.TakeIn(n.name, n.life, r.Started)
 	h.book.ApplyReport(f.now, r)
-	lifetime, version := n.view.Known(h.name)
+	lifetime, version := n.view.KnownVersion(h.name)
 	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.BaseVersion(lifetime, version)))
 }
 
 func (n *node) take(now time.Time, relay string, d Digest) {
-	n.words, n.share = map[string]Word{}, d.Shares
-	for _, w := range n.view.Take(now, relay, d) {
+	n.words, n.share = map[string]Update{}, d.Shares
+	for _, w := range n.view.ApplyDigest(now, relay, d) {
 		n.words[w.Node] = w
 	}
 }
@@ -173,7 +173,7 @@
 	g := from.book.Group(f.now, from.book.BaseVersion(lifetime, version))
 	to.book.MergeGroup(f.now, g)
 	for _, c := range g.Changes {
-		to.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		to.usage.TakeIn(c.Node, c.Incarnation, c.Started)
 	}
 }
 
@@ -182,7 +182,7 @@
 	for _, n := range f.nodes {
 		for name, w := range n.words {
 			o := f.byName(name)
-			if !n.alive || w.Lifetime != o.life {
+			if !n.alive || w.Incarnation != o.life {
 				continue
 			}
 			for ws, x := range w.Spent {
@@ -213,7 +213,7 @@
 			if !assert.Equal(t, o.alive, ok, "%s at %s", o.name, n.name) || !ok {
 				continue
 			}
-			assert.Equal(t, o.life, w.Lifetime)
+			assert.Equal(t, o.life, w.Incarnation)
 			assert.Equal(t, o.spent, w.Spent, "%s at %s", o.name, n.name)
 		}
 		assert.Equal(t, all-n.load, running(n.share), "what the others have, at %s", n.name)
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -14,7 +14,7 @@
 // Group returns what is new of this relay's own nodes after a version of this book. An
 // asker that doesn't know this process gives version 0.
 func (b *Aggregator) Group(now time.Time, after uint64) Group {
-	g := Group{Relay: b.self, Lifetime: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
+	g := Group{Relay: b.self, Incarnation: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
 	g.Changes, g.Version = b.changes(now, after, func(_ string, v *record) uint64 {
 		if v.relay != b.self {
 			return v.left
@@ -26,7 +26,7 @@
 		if v := b.records[c.Node]; v.relay == b.self {
 			c.Started = v.started
 		} else {
-			*c = Change{Node: c.Node, Lifetime: c.Lifetime, Silent: true}
+			*c = Change{Node: c.Node, Incarnation: c.Incarnation, Unresponsive: true}
 		}
 	}
 	g.Placed = b.placements(after, g.Version, func(p placing) bool { return p.relay == b.self })
@@ -43,7 +43,7 @@
 
 // Digest returns what is new to a node after a version of this book.
 func (b *Aggregator) Digest(now time.Time, asker string, after uint64) Digest {
-	d := Digest{Lifetime: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
+	d := Digest{Incarnation: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
 	for name, g := range b.groups {
 		if age := now.Sub(g.heard); age <= recordKeeps {
 			d.Relays[name] = age
@@ -58,7 +58,7 @@
 	d.Placed = b.placements(after, d.Version, func(placing) bool { return true })
 	d.Trials = b.ownTrials(asker)
 	d.Trials = rollout.Merge(d.Trials, b.otherTrials(now))
-	d.Reach = b.reach(now, asker)
+	d.Reachability = b.reach(now, asker)
 	return d
 }
 
@@ -172,7 +172,7 @@
 
 func (v *record) change(now time.Time, node string, after uint64) Change {
 	c := Change{
-		Node: node, Lifetime: v.lifetime, Sequence: v.sequence, Uptime: v.heard.Sub(v.began), Age: now.Sub(v.heard), Relay: v.relay, Silent: v.silent,
+		Node: node, Incarnation: v.lifetime, Sequence: v.sequence, Uptime: v.heard.Sub(v.began), Age: now.Sub(v.heard), Relay: v.relay, Unresponsive: v.silent,
 		Spent: make(map[string]float64),
 	}
 	for w, x := range v.spent {
