--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -24,12 +24,12 @@
 	MaxTokens   int
 	Deadline    time.Time
 	Traceparent string
-	// Patient is set for a job: it waits out refusals until its deadline, since it
+	// RetryUntilDeadline is set for a job: it waits out refusals until its deadline, since it
 	// was accepted.
-	Patient bool
-	// Moved tells whether the request goes on at another node, so that its record
+	RetryUntilDeadline bool
+	// TakenOver tells whether the request goes on at another node, so that its record
 	// must not end here; nil if it never does.
-	Moved func() bool
+	TakenOver func() bool
 }
 
 // Silences after which an engine counts as stalled. The first token waits for a
@@ -56,10 +56,10 @@
 		if err == nil {
 			return
 		}
-		if c.Moved != nil && c.Moved() {
+		if c.TakenOver != nil && c.TakenOver() {
 			return
 		}
-		if !c.Patient || x.Err() != nil {
+		if !c.RetryUntilDeadline || x.Err() != nil {
 			d.fail(c, l, err)
 			return
 		}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -28,40 +28,40 @@
 
 var errs = errorx.NewNamespace("dispatch")
 
-// ErrRefused says that the request was refused before anything was sent.
-var ErrRefused = errs.NewType("refused").New("refused, nothing was sent")
+// ErrRejected says that the request was refused before anything was sent.
+var ErrRejected = errs.NewType("refused").New("refused, nothing was sent")
 
-// Refusal is ErrRefused with the time to come back at.
-type Refusal struct {
+// Rejection is ErrRefused with the time to come back at.
+type Rejection struct {
 	cause  string
 	after  time.Duration
 	nobody bool // it is errNobody, too
 }
 
 // Error returns the cause.
-func (r *Refusal) Error() string { return r.cause }
+func (r *Rejection) Error() string { return r.cause }
 
 // Is makes errors.Is(err, ErrRefused) hold.
-func (r *Refusal) Is(target error) bool {
-	return target == ErrRefused || r.nobody && target == errNobody //nolint:errorlint // sentinels
+func (r *Rejection) Is(target error) bool {
+	return target == ErrRejected || r.nobody && target == errNobody //nolint:errorlint // sentinels
 }
 
 // RetryAfter returns when to come back.
-func (r *Refusal) RetryAfter() time.Duration { return r.after }
+func (r *Rejection) RetryAfter() time.Duration { return r.after }
 
 // Options sets a dispatcher.
 type Options struct {
-	Node     string
-	Hall     string
-	Clock    *timer.Service
-	Client   *upstream.Client
-	Table    *member.Table
-	Nodes    func() int // live nodes, this one included
-	Event    func(name, request, detail string)
-	Reaches  func(ctx context.Context, hall string) bool // the way to a hall is open
-	Urgent   func()                                      // there is something that other nodes should know at once
-	Policy   route.Policy
-	Distance time.Duration // one way, to an upstream in another hall
+	Node          string
+	Hall          string
+	Clock         *timer.Service
+	Client        *upstream.Client
+	Table         *member.Table
+	Nodes         func() int // live nodes, this one included
+	Event         func(name, request, detail string)
+	HallReachable func(ctx context.Context, hall string) bool // the way to a hall is open
+	ExchangeSoon  func()                                      // there is something that other nodes should know at once
+	Policy        route.Policy
+	Distance      time.Duration // one way, to an upstream in another hall
 }
 
 // Dispatcher holds the pools. It is safe for concurrent use.
@@ -229,7 +229,7 @@
 	case admit.DecisionRun:
 		return func() { p.leave(r.ID) }, nil
 	case admit.DecisionRefuse:
-		return nil, &Refusal{cause: string(v.Cause), after: v.RetryAfter}
+		return nil, &Rejection{cause: string(v.Cause), after: v.RetryAfter}
 	}
 	return p.wait(ctx, r, c)
 }
@@ -248,7 +248,7 @@
 	if started {
 		return func() { p.leave(r.ID) }, nil
 	}
-	return nil, &Refusal{cause: string(admit.CauseExpired), after: time.Second}
+	return nil, &Rejection{cause: string(admit.CauseExpired), after: time.Second}
 }
 
 // withdraw takes a request out of the queue; it may have been started meanwhile.
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -28,5 +28,5 @@
 		slots, perSecond := p.admission.Room()
 		after = p.turns.Take(now, rest, slots, perSecond)
 	}
-	return &Refusal{cause: errNobody.Error(), after: after, nobody: true}
+	return &Rejection{cause: errNobody.Error(), after: after, nobody: true}
 }
