--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -83,7 +83,7 @@
 	kv       store.KV
 	era      *era.Clock
 	pools    *pool.Pools
-	lines    *forward.Lines
+	lines    *forward.Connections
 	front    *forward.Server
 	suspects *quarantine.Book // requests that end upstreams
 	lease    *lease.Lease
@@ -145,7 +145,7 @@
 	n := &Node{o: o, s: s, clock: o.Clock, log: o.Log, start: o.Clock.Now(), known: make(chan struct{}), repeats: make(map[string]*retry.Window)}
 	n.pools = pool.New(o.Clock, s.Node, s.Hall)
 	n.pools.SetSenders(nil, nil) // until the other nodes are known
-	n.lines = forward.NewLines(o.Clock)
+	n.lines = forward.NewConnections(o.Clock)
 	n.quotas = quota.New(n.start, s.FirstStart)
 	n.usage = usage.New(s.Node, o.Lifetime, s.UsageWindow)
 	n.peers = newTable(n)
@@ -162,9 +162,9 @@
 	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
 	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.Lease, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
-		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.known, Catalog: n.current,
-		Place: n.place, Charge: n.charge, Refund: n.refund, Began: n.began, First: n.first, Repeat: n.repeat, Heard: n.heard, Phase: n.stopPhase, Suspects: n.suspects, Reaches: n.reaches,
-		Trials: forward.Trials{Offer: n.offer, Return: n.unoffer, Note: n.noteAnswer, Moves: n.moves},
+		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Connections: n.lines, Ready: n.known, Catalog: n.current,
+		Place: n.place, Charge: n.charge, Refund: n.refund, CountStarted: n.began, RecordFirstAttempt: n.first, AllowRetry: n.repeat, ObserveResponse: n.heard, Phase: n.stopPhase, Quarantine: n.suspects, HallReachable: n.reaches,
+		Trials: forward.Trials{Offer: n.offer, Return: n.unoffer, Record: n.noteAnswer, ShouldMove: n.moves},
 	})
 	return n
 }
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -28,7 +28,7 @@
 func (n *Node) sawEnds(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.ApplyQuarantine(n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -109,7 +109,7 @@
 // mayTry tells whether another attempt is allowed. The first always is.
 func (s *Server) mayTry(ctx context.Context, q *request, try int, last error) error {
 	if try == 0 {
-		s.o.First(q.service)
+		s.o.RecordFirstAttempt(q.service)
 		return nil
 	}
 	if ctx.Err() != nil {
@@ -138,7 +138,7 @@
 // cost no budget.
 func (s *Server) decide(q *request) (retry.Verdict, retry.Reason) {
 	a := retry.Attempt{Repeatable: q.route.Repeatable(), MayHaveRun: q.mayRun, Sent: q.sends, Most: q.route.MaxAttempts(), Left: q.until.Sub(s.o.Clock.Now())}
-	return retry.Decide(a, func() bool { return q.arrivals == 0 || s.o.Repeat(q.service) })
+	return retry.Decide(a, func() bool { return q.arrivals == 0 || s.o.AllowRetry(q.service) })
 }
 
 // giveUp is the final answer to a request that no upstream has answered.
@@ -198,7 +198,7 @@
 	}
 	a.end(s.verdict(ctx, a, err))
 	if ctx.Err() == nil && errors.Is(err, errLost) && !a.withdrawn() {
-		s.o.Trials.Note(q.service, q.route.Name(), use.Rank(), rollout.Answer{Failed: true})
+		s.o.Trials.Record(q.service, q.route.Name(), use.Rank(), rollout.Answer{Failed: true})
 	}
 	f := append(chosen(use), zap.String("request", q.meta.ID),
 		zap.String("address", use.Entry().Address), zap.Int("send", q.sends), zap.Duration("after", s.o.Clock.Since(q.arrived)),
@@ -263,7 +263,7 @@
 func (s *Server) exchange(a *attempt, q *request, lastEvent string) error {
 	r := s.outgoing(a, q, lastEvent)
 	e := a.use.Entry()
-	line := s.o.Lines.get(e)
+	line := s.o.Connections.get(e)
 	a.sent = s.o.Clock.Now()
 	head, err := line.Do(r, len(q.body) > 0)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
@@ -278,8 +278,8 @@
 	a.head = head
 	v := s.o.Dialect.ReadAnswer(head)
 	q.said = v
-	s.o.Lines.learn(e, v.IdleLimit)
-	s.o.Heard(e, v, a.sent) // also in an answer that came too late for its own request: the upstream is the same
+	s.o.Connections.learn(e, v.IdleLimit)
+	s.o.ObserveResponse(e, v, a.sent) // also in an answer that came too late for its own request: the upstream is the same
 	if v.ID != "" && v.ID != q.meta.ID {
 		q.mayRun = true
 		return fault.Because(errLost, "the answer belongs to request %s", v.ID)
@@ -364,7 +364,7 @@
 		return
 	}
 	q.counted = true
-	s.o.Began(q.workspace.Name())
+	s.o.CountStarted(q.workspace.Name())
 }
 
 // outgoing builds the request for an upstream. Its body can't be rewound, so that
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -61,13 +61,13 @@
 
 // Options sets a server. All fields are needed.
 type Options struct {
-	Clock   *timer.Service
-	Log     *zap.Logger
-	Dialect call.Dialect
-	Pools   *pool.Pools
-	Lines   *Lines
-	// Known is closed once there are a configuration and a list of upstreams.
-	Known <-chan struct{}
+	Clock       *timer.Service
+	Log         *zap.Logger
+	Dialect     call.Dialect
+	Pools       *pool.Pools
+	Connections *Connections
+	// Ready is closed once there are a configuration and a list of upstreams.
+	Ready <-chan struct{}
 	// Catalog returns the configuration in force, or nil before there is one.
 	Catalog func() *catalog.Catalog
 	// Place returns the upstream that is to take a request, or nothing if this node is to
@@ -76,21 +76,21 @@
 	// Charge takes tokens from a workspace's quota, Refund gives them back.
 	Charge func(workspace string, tokens float64) quota.Verdict
 	Refund func(workspace string, tokens float64)
-	// Began counts a request that began to run.
-	Began func(workspace string)
-	// First notes a first send to a service, Repeat asks for leave to send again.
-	First  func(service string)
-	Repeat func(service string) bool
-	// Heard takes in what an upstream says of itself in an answer to what was sent at a time.
-	Heard func(e pool.Entry, v call.Answer, sent time.Time)
+	// CountStarted counts a request that began to run.
+	CountStarted func(workspace string)
+	// RecordFirstAttempt notes a first send to a service, Repeat asks for leave to send again.
+	RecordFirstAttempt func(service string)
+	AllowRetry         func(service string) bool
+	// ObserveResponse takes in what an upstream says of itself in an answer to what was sent at a time.
+	ObserveResponse func(e pool.Entry, v call.Answer, sent time.Time)
 	// Phase tells how far a planned stop has come.
 	Phase func() Phase
 	// Trials is how requests take part in roll-outs.
 	Trials Trials
-	// Suspects knows the requests that end upstreams.
-	Suspects *quarantine.Book
-	// Reaches tells whether the way to a hall is open.
-	Reaches func(ctx context.Context, hall string) bool
+	// Quarantine knows the requests that end upstreams.
+	Quarantine *quarantine.Book
+	// HallReachable tells whether the way to a hall is open.
+	HallReachable func(ctx context.Context, hall string) bool
 }
 
 // Trials is what a roll-out asks of requests and is told of their answers.
@@ -98,12 +98,12 @@
 	// Offer tells whether a request goes to a version on trial, Return that it couldn't.
 	Offer  func(service, route string) bool
 	Return func(service, route string)
-	// Note takes in an answer of an upstream of that rank among the target's; -1: of another
+	// Record takes in an answer of an upstream of that rank among the target's; -1: of another
 	// version.
-	Note func(service, route string, rank int, a rollout.Answer)
-	// Moves tells whether a stream at an upstream that is none of the target's is to go on at
+	Record func(service, route string, rank int, a rollout.Answer)
+	// ShouldMove tells whether a stream at an upstream that is none of the target's is to go on at
 	// the target.
-	Moves func(service string) bool
+	ShouldMove func(service string) bool
 }
 
 // Phase is how far a planned stop has come.
@@ -256,14 +256,14 @@
 func (s *Server) await(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, v any) (any, error) {
 		select {
-		case <-s.o.Known:
+		case <-s.o.Ready:
 			return next(ctx, v)
 		default:
 		}
 		late, stop := s.o.Clock.After(knownWait)
 		defer stop()
 		select {
-		case <-s.o.Known:
+		case <-s.o.Ready:
 		case <-late:
 		case <-ctx.Done():
 			return nil, ctx.Err()
