--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -121,12 +121,12 @@
 	o       Options
 	next    endpoint.Endpoint
 	waits   waitTracker
-	pending pendingAttempts
+	pending attemptSet
 }
 
 // NewServer returns a server.
 func NewServer(o Options) *Server {
-	s := &Server{o: o, pending: newPendingAttempts()}
+	s := &Server{o: o, pending: newAttemptSet()}
 	s.next = endpoint.Chain(s.awaitReady, s.authorize, s.rejectQuarantined, s.charge)(s.send)
 	return s
 }
--- a/internal/forward/withhold.go
+++ b/internal/forward/withhold.go
@@ -100,30 +100,28 @@
 	s.o.Log.Info("shape_held", append(f, zap.Strings("upstreams", c.Upstreams), zap.Duration("for", c.Until.Sub(s.o.Clock.Now())))...)
 }
 
-// pendingAttempts is the set of attempts that have received nothing yet.
-type pendingAttempts struct {
+// attemptSet is the set of attempts that have received nothing yet.
+type attemptSet struct {
 	mu       sync.Mutex
 	attempts map[*attempt]*request
 }
 
-func newPendingAttempts() pendingAttempts {
-	return pendingAttempts{attempts: make(map[*attempt]*request)}
-}
+func newAttemptSet() attemptSet { return attemptSet{attempts: make(map[*attempt]*request)} }
 
-func (f *pendingAttempts) add(a *attempt, q *request) {
+func (f *attemptSet) add(a *attempt, q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.attempts[a] = q
 }
 
-func (f *pendingAttempts) remove(a *attempt) {
+func (f *attemptSet) remove(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.attempts, a)
 }
 
 // cancel ends the attempts of a request: upstreams drop a queued request when its connection closes.
-func (f *pendingAttempts) cancel(p quarantine.Print) {
+func (f *attemptSet) cancel(p quarantine.Print) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for a, q := range f.attempts {
