--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -14,7 +14,7 @@
 	"spurhall.example/spurhall/internal/upstream"
 )
 
-// Chat is one chat completion to be run into a record.
+// Chat is one chat completion, whose response is written to a record.
 type Chat struct {
 	Record      *stream.Record
 	Workspace   string
@@ -24,30 +24,30 @@
 	MaxTokens   int
 	Deadline    time.Time
 	Traceparent string
-	// RetryUntilDeadline is set for a job: it waits out refusals until its deadline, since it
-	// was accepted.
+	// RetryUntilDeadline is set for a job: since it has been accepted, it is retried after rejections until its
+	// deadline.
 	RetryUntilDeadline bool
-	// TakenOver tells whether the request goes on at another node, so that its record
-	// must not end here; nil if it never does.
+	// TakenOver reports whether another node continues the request, so that its record must not be finished here;
+	// nil if that cannot happen.
 	TakenOver func() bool
 }
 
-// Silences after which an engine counts as stalled. The first token waits for a
-// slot and the prefill; between tokens an engine is never silent for long.
+// Silences after which an engine counts as stalled. The first token waits for a slot and the prefill;
+// between tokens an engine is never silent for long.
 const (
-	firstByteLimit = 20 * time.Second
-	batchByteLimit = 2 * time.Minute // batch work may wait in the engine's own queue
-	betweenLimit   = 3 * time.Second
+	firstByteLimit    = 20 * time.Second
+	batchByteLimit    = 2 * time.Minute // batch work may wait in the engine's own queue
+	betweenBytesLimit = 3 * time.Second
 )
 
-// patience is how long a job waits after a refusal.
-const patience = 500 * time.Millisecond
+// retryInterval is how long a job waits after a rejection.
+const retryInterval = 500 * time.Millisecond
 
-// Chat runs a chat completion until its record has ended.
+// Chat runs a chat completion until its record is finished.
 func (d *Dispatcher) Chat(ctx context.Context, c *Chat) {
 	x, cancel := context.WithTimeout(ctx, c.Deadline.Sub(d.o.Clock.Now()))
 	defer cancel()
-	l := d.begin(c.Record.ID())
+	l := d.beginProgress(c.Record.ID())
 	if c.Record.Attempt() > 0 {
 		l.fire("taken") // from another node, where it may have run
 	}
@@ -63,19 +63,19 @@
 			d.fail(c, l, err)
 			return
 		}
-		_ = d.o.Clock.Sleep(x, patience)
+		_ = d.o.Clock.Sleep(x, retryInterval)
 	}
 }
 
-func (d *Dispatcher) fail(c *Chat, l *life, err error) {
-	a := givenUp(l.giveUp(), err)
+func (d *Dispatcher) fail(c *Chat, l *progress, err error) {
+	a := finalResponse(l.giveUp(), err)
 	c.Record.Finish(a.Outcome, a.Failure, a.RetryAfter, d.o.Clock.Now())
 	d.o.Event("request_failed", c.Record.ID(), string(a.Outcome)+": "+a.Failure)
 }
 
-// chatOnce admits and attempts until the answer is whole or no retry is allowed.
-func (d *Dispatcher) chatOnce(ctx context.Context, c *Chat, l *life) error {
-	if r := d.withheld(c.identity); r != nil {
+// chatOnce admits the request and makes attempts until the response is complete or no retry is allowed.
+func (d *Dispatcher) chatOnce(ctx context.Context, c *Chat, l *progress) error {
+	if r := d.checkQuarantine(c.identity); r != nil {
 		return r
 	}
 	p := d.pool(c.Service.Pool)
@@ -85,33 +85,33 @@
 		return err
 	}
 	defer leave()
-	if !l.l.Is("routed") { // a job that was refused before is admitted again
+	if !l.chart.Is("routed") { // a job that was rejected before is admitted again
 		l.fire("admit")
 	}
-	tried := newTries()
+	tried := newAttempts()
 	prefer := ""
 	for {
 		next, err := p.attempt(ctx, c, l, tried, prefer)
 		if err == nil {
 			p.mu.Lock()
-			p.spent.requests++
+			p.totals.requests++
 			p.mu.Unlock()
 			return nil
 		}
 		prefer = ""
-		if r := d.held(c.identity); r != nil {
+		if r := d.recheckQuarantine(c.identity); r != nil {
 			return r
 		}
 		if errors.Is(err, errMoved) {
-			// The upstream leaves: not a failure, and not paid from the retry budget.
+			// The upstream is leaving: this is not a failure and not charged to the retry budget.
 			prefer = next
 			continue
 		}
-		if d.endedElsewhere(c.identity, tried) {
+		if d.crashedElsewhere(c.identity, tried) {
 			return err
 		}
 		a := retry.Attempt{Repeatable: true, MayHaveRun: !errors.Is(err, upstream.ErrRefused), Left: c.Deadline.Sub(d.o.Clock.Now())}
-		if ctx.Err() != nil || errors.Is(err, errNobody) || !p.again(tried, a) {
+		if ctx.Err() != nil || errors.Is(err, errNoUpstream) || !p.mayRetry(tried, a) {
 			return err
 		}
 		d.o.Event("retry", c.Record.ID(), err.Error())
@@ -119,16 +119,16 @@
 }
 
 var (
-	errNobody = errs.NewType("nobody").New("no upstream can take the request now")
-	errMoved  = errs.NewType("moved").New("the stream was taken off a leaving upstream")
+	errNoUpstream = errs.NewType("nobody").New("no upstream can take the request now")
+	errMoved      = errs.NewType("moved").New("the stream was taken off a leaving upstream")
 )
 
-// attempt runs one attempt. After a move it returns the address that the stream's
-// KV cache went to.
-func (p *pool) attempt(ctx context.Context, c *Chat, l *life, tried *tries, prefer string) (string, error) {
+// attempt runs one attempt. If the stream was moved, it returns the address of the upstream that received
+// the KV cache.
+func (p *pool) attempt(ctx context.Context, c *Chat, l *progress, tried *attempts, prefer string) (string, error) {
 	t, ok := p.choose(c, tried, prefer)
 	if !ok {
-		return "", p.nobody(c.Record.ID())
+		return "", p.rejectNoUpstream(c.Record.ID())
 	}
 	l.fire("route")
 	number, offset := c.Record.Begin()
@@ -137,7 +137,7 @@
 	m := p.track(c, t.fact.ID, cancel)
 	if offset > 0 {
 		p.mu.Lock()
-		p.spent.resumed++
+		p.totals.resumed++
 		p.mu.Unlock()
 		p.d.o.Event("stream_resumed", c.Record.ID(), fmt.Sprintf("at offset %d on %s", offset, t.fact.ID))
 	}
@@ -148,10 +148,10 @@
 	call := &upstream.ChatCall{
 		RequestID: c.Record.ID(), Address: t.fact.Address, Body: c.Body, MaxTokens: c.MaxTokens,
 		Priority: priority, Offset: offset, Text: c.Record.Text(), FirstByte: first,
-		Between: betweenLimit, Traceparent: c.Traceparent,
+		Between: betweenBytesLimit, Traceparent: c.Traceparent,
 	}
 	l.fire("send")
-	begun := p.d.o.Clock.Now()
+	startedAt := p.d.o.Clock.Now()
 	err := p.d.o.Client.Chat(x, call, func(k upstream.Chunk) error {
 		if k.Finish != "" {
 			p.usage(&k.Usage)
@@ -167,37 +167,37 @@
 	})
 	next, moved := p.untrack(c.Record.ID(), m)
 	if err != nil && moved {
-		p.landed(t.fact.ID, err, false)
+		p.recordOutcome(t.fact.ID, err, false)
 		l.fire("lost")
 		return next, errMoved
 	}
-	p.landed(t.fact.ID, err, ctx.Err() == nil && !errors.Is(err, upstream.ErrRefused))
+	p.recordOutcome(t.fact.ID, err, ctx.Err() == nil && !errors.Is(err, upstream.ErrRefused))
 	if err == nil {
 		l.fire("finish")
-		p.measured(t.fact.ID, p.d.o.Clock.Since(begun), c.Record.Len()-offset)
-		p.d.answered(c.identity)
+		p.recordDuration(t.fact.ID, p.d.o.Clock.Since(startedAt), c.Record.Len()-offset)
+		p.d.recordComplete(c.identity)
 		c.Record.FinishAttempt(number, p.d.o.Clock.Now())
 		return "", nil
 	}
-	tried.note(t.fact.ID, err, p.d.o.Clock.Since(begun))
+	tried.record(t.fact.ID, err, p.d.o.Clock.Since(startedAt))
 	if errors.Is(err, upstream.ErrRefused) {
 		go p.d.checkLeaving(t.fact.ID, t.fact.Address)
 	}
-	l.failed(err)
-	p.d.broke(ctx, err, c.identity, &t.fact)
+	l.attemptFailed(err)
+	p.d.recordSevered(ctx, err, c.identity, &t.fact)
 	return "", err
 }
 
 func (p *pool) usage(u *upstream.Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spent.tokens += int64(u.Prompt)
-	p.spent.cached += int64(u.Details.Cached)
+	p.totals.tokens += int64(u.Prompt)
+	p.totals.cached += int64(u.Details.Cached)
 }
 
-// choose takes the upstream that the KV cache went to, if there is one and it is
-// still usable, and asks the router otherwise.
-func (p *pool) choose(c *Chat, tried *tries, prefer string) (target, bool) {
+// choose returns the upstream that received the KV cache, if there is one and it is still usable, and asks
+// the router otherwise.
+func (p *pool) choose(c *Chat, tried *attempts, prefer string) (target, bool) {
 	if prefer == "" {
 		return p.pick(c.Service, &c.Prompt, tried)
 	}
--- a/internal/dispatch/life.go
+++ b/internal/dispatch/life.go
@@ -10,29 +10,28 @@
 
 var requestChart = chart.Load("request")
 
-// life is one request on its way through the request chart. What the caller is told in
-// the end is the state that the chart ends in, not what the last attempt happened to
-// say.
-type life struct {
-	l     *chart.Life
+// progress is the position of a request in the request chart. The outcome reported to the caller is the chart's
+// final state, not the result of the last attempt.
+type progress struct {
+	chart *chart.Life
 	id    string
 	event func(name, request, detail string)
 }
 
-func (d *Dispatcher) begin(id string) *life {
-	return &life{l: requestChart.Begin(), id: id, event: d.o.Event}
+func (d *Dispatcher) beginProgress(id string) *progress {
+	return &progress{chart: requestChart.Begin(), id: id, event: d.o.Event}
 }
 
-// fire moves on. An event that the chart doesn't allow is a fault of this package; it
-// is told, and changes nothing.
-func (v *life) fire(event string) {
-	if err := v.l.Fire(event); err != nil {
+// fire applies an event to the chart. An event that the chart does not allow is a bug in this package; it is
+// logged and changes nothing.
+func (v *progress) fire(event string) {
+	if err := v.chart.Fire(event); err != nil {
 		v.event("transition_not_allowed", v.id, err.Error())
 	}
 }
 
-// failed takes in how an attempt failed.
-func (v *life) failed(err error) {
+// attemptFailed records how an attempt failed.
+func (v *progress) attemptFailed(err error) {
 	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused) {
 		v.fire("refused")
 		return
@@ -40,10 +39,10 @@
 	v.fire("lost")
 }
 
-// giveUp ends the request and returns what may be told of it.
-func (v *life) giveUp() stream.Outcome {
+// giveUp ends the request and returns its outcome.
+func (v *progress) giveUp() stream.Outcome {
 	v.fire("give-up")
-	if v.l.Is("not-run") {
+	if v.chart.Is("not-run") {
 		return stream.OutcomeNotRun
 	}
 	return stream.OutcomeUnknown
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -12,39 +12,39 @@
 	"spurhall.example/spurhall/internal/route"
 )
 
-// move is a stream in flight, and the way to take it off its upstream.
-type move struct {
-	upstream string
-	chat     *Chat
-	cancel   context.CancelCauseFunc
-	begun    time.Time
-	moved    bool
-	next     string
+// activeStream is a stream in progress, with what is needed to move it off its upstream.
+type activeStream struct {
+	upstream  string
+	chat      *Chat
+	cancel    context.CancelCauseFunc
+	startedAt time.Time
+	moved     bool
+	successor string
 }
 
-func (p *pool) track(c *Chat, upstream string, cancel context.CancelCauseFunc) *move {
-	m := &move{upstream: upstream, chat: c, cancel: cancel, begun: p.d.o.Clock.Now()}
+func (p *pool) track(c *Chat, upstream string, cancel context.CancelCauseFunc) *activeStream {
+	m := &activeStream{upstream: upstream, chat: c, cancel: cancel, startedAt: p.d.o.Clock.Now()}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.moving[c.Record.ID()] = m
+	p.streams[c.Record.ID()] = m
 	return m
 }
 
-func (p *pool) untrack(id string, m *move) (next string, moved bool) {
+func (p *pool) untrack(id string, m *activeStream) (next string, moved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.moving[id] == m {
-		delete(p.moving, id)
+	if p.streams[id] == m {
+		delete(p.streams, id)
 	}
-	return m.next, m.moved
+	return m.successor, m.moved
 }
 
-// MoveStreams takes this node's streams off an upstream that has so long left. Streams
-// that can end, end; of the others, those worth it have their KV cache exported to
-// a successor first, and all go on elsewhere at the offset they had reached.
+// MoveStreams moves this node's streams off an upstream that stops after the notice. Streams that can complete
+// in time do so. For those worth it, the KV cache is exported to a successor first. All moved streams resume
+// elsewhere at the offset that they had reached.
 func (d *Dispatcher) MoveStreams(ctx context.Context, f member.Fact, notice time.Duration) {
 	p := d.pool(f.Service)
-	moves, plan := p.plan(f, notice)
+	moves, plan := p.planMoves(f, notice)
 	if len(moves) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 		case reclaim.ActStay:
 			continue
 		case reclaim.ActExport:
-			p.export(x, f, m)
+			p.exportCache(x, f, m)
 		}
 		p.mu.Lock()
 		m.moved = true
@@ -66,14 +66,14 @@
 		_ = d.o.Client.Cancel(x, f.Address, m.chat.Record.ID())
 	}
 	_ = d.o.Clock.Sleep(x, notice)
-	p.sweep(f.ID)
+	p.moveRemaining(f.ID)
 }
 
-// sweep moves what was left to end by itself and didn't.
-func (p *pool) sweep(id string) {
+// moveRemaining moves the streams that were expected to complete in time and did not.
+func (p *pool) moveRemaining(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.moving {
+	for _, m := range p.streams {
 		if m.upstream == id && !m.moved {
 			m.moved = true
 			m.cancel(errMoved)
@@ -81,13 +81,13 @@
 	}
 }
 
-func (p *pool) plan(f member.Fact, notice time.Duration) ([]*move, []reclaim.Step) {
+func (p *pool) planMoves(f member.Fact, notice time.Duration) ([]*activeStream, []reclaim.Step) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.d.o.Clock.Now()
-	var moves []*move
+	var moves []*activeStream
 	var list []reclaim.Stream
-	for _, m := range p.moving {
+	for _, m := range p.streams {
 		if m.upstream != f.ID || m.moved {
 			continue
 		}
@@ -97,16 +97,16 @@
 			Left: m.chat.MaxTokens - done, Weight: 1 + m.chat.Service.Weights.Recompute,
 		}
 		if done > 0 {
-			s.PerToken = now.Sub(m.begun) / time.Duration(done)
+			s.PerToken = now.Sub(m.startedAt) / time.Duration(done)
 		}
 		moves, list = append(moves, m), append(list, s)
 	}
 	return moves, reclaim.Plan(list, reclaim.Options{Notice: notice})
 }
 
-// export sends a stream's KV cache to the successor: the upstream that the router
-// would choose without the leaving one, outside its zone if there is one.
-func (p *pool) export(ctx context.Context, f member.Fact, m *move) {
+// exportCache sends a stream's KV cache to the successor: the upstream that the router would choose without the
+// leaving one, in another zone if possible.
+func (p *pool) exportCache(ctx context.Context, f member.Fact, m *activeStream) {
 	to, ok := p.successor(f, m)
 	if !ok {
 		return
@@ -117,35 +117,35 @@
 		return
 	}
 	p.mu.Lock()
-	m.next = to
+	m.successor = to
 	p.mu.Unlock()
 	p.d.o.Event("kv_exported", id, fmt.Sprintf("%s to %s", f.ID, to))
 }
 
-func (p *pool) successor(f member.Fact, m *move) (string, bool) {
+func (p *pool) successor(f member.Fact, m *activeStream) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refreshLocked()
 	outside := false
-	for i := range p.cands {
-		p.cands[i].Excluded = p.cands[i].ID == f.ID || !p.outliers.Usable(p.d.now(), p.cands[i].ID)
-		outside = outside || !p.cands[i].Excluded && p.cands[i].Zone != f.Zone
+	for i := range p.candidates {
+		p.candidates[i].Excluded = p.candidates[i].ID == f.ID || !p.outliers.Usable(p.d.now(), p.candidates[i].ID)
+		outside = outside || !p.candidates[i].Excluded && p.candidates[i].Zone != f.Zone
 	}
-	for i := range p.cands {
-		if outside && p.cands[i].Zone == f.Zone {
-			p.cands[i].Excluded = true
+	for i := range p.candidates {
+		if outside && p.candidates[i].Zone == f.Zone {
+			p.candidates[i].Excluded = true
 		}
 	}
 	prompt := m.chat.Prompt
-	c := p.router.Pick(&prompt, p.cands)
+	c := p.router.Pick(&prompt, p.candidates)
 	if c.Index < 0 {
 		return "", false
 	}
 	return p.list[c.Index].Address, true
 }
 
-// checkLeaving asks an upstream that refused whether it is leaving, and spreads it
-// if so: its own word is a notice like any other.
+// checkLeaving asks an upstream that rejected a request whether it is leaving, and records it if so: the
+// upstream's own statement counts like any other notice.
 func (d *Dispatcher) checkLeaving(id, address string) {
 	x, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -155,8 +155,8 @@
 	}
 }
 
-// PromptOf works out what the router needs from a chat's messages. Tokens are
-// estimated as words, which is exact for the stand-in and near enough for choosing.
+// PromptOf derives the router's inputs from a chat's messages. Tokens are estimated as words, which is exact
+// for the stand-in engine and accurate enough for routing.
 func PromptOf(texts []string, roles []string, maxTokens int) route.Prompt {
 	p := route.Prompt{MaxTokens: maxTokens}
 	var b strings.Builder
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -25,46 +25,45 @@
 	Service   *config.Service
 	Rule      config.Call
 	Method    string
-	Path      string // with the query, below the service
+	Path      string // with the query, relative to the service
 	Header    http.Header
 	Body      []byte
 	Deadline  time.Time
-	Caller    string // who asks, for the share that goes to a legacy address
-	// Claim asks for the permission to send a call that may not be repeated and has
-	// a key; nil if there is nothing to ask. It returns the function that ends the
-	// claim, or a final answer.
+	Caller    string // caller's identity, which determines the share sent to a legacy address
+	// Claim asks for permission to send a call that must not be repeated and has a key; nil if none is
+	// needed. It returns the function that ends the claim, or a final response.
 	Claim func(ctx context.Context) (func(a *Response), *Response)
 }
 
-// Response is the final answer to a call.
+// Response is the final response to a call.
 type Response struct {
 	Outcome    stream.Outcome
 	Status     int
 	Header     http.Header
 	Body       []byte
-	Remainder  io.ReadCloser // of a body longer than what is held, or nil
+	Remainder  io.ReadCloser // unread part of a body longer than maxBufferedBody, or nil
 	Failure    string
 	RetryAfter time.Duration
 	Replayed   bool
 }
 
-// heldBody is how much of an answer is read before the first byte of it is passed
-// on: a shorter answer that breaks off is an error and never half an answer.
-const heldBody = 1 << 20
+// maxBufferedBody is how much of a response, in bytes, is read before its first byte is forwarded: a shorter
+// response that breaks off becomes an error and is never forwarded in part.
+const maxBufferedBody = 1 << 20
 
-// Plain runs a call and returns its final answer.
+// Plain runs a call and returns its final response.
 func (d *Dispatcher) Plain(ctx context.Context, c *Call) *Response {
 	x, cancel := context.WithTimeout(ctx, c.Deadline.Sub(d.o.Clock.Now()))
 	p := d.pool(c.Service.Pool)
-	l := d.begin(c.ID)
-	if r := d.withheld(c.identity); r != nil {
+	l := d.beginProgress(c.ID)
+	if r := d.checkQuarantine(c.identity); r != nil {
 		cancel()
-		return givenUp(l.giveUp(), r)
+		return finalResponse(l.giveUp(), r)
 	}
 	leave, err := p.enter(x, c.admission(d))
 	if err != nil {
 		cancel()
-		return givenUp(l.giveUp(), err)
+		return finalResponse(l.giveUp(), err)
 	}
 	a := p.call(x, c, l)
 	if a.Remainder == nil {
@@ -72,20 +71,20 @@
 		cancel()
 		return a
 	}
-	a.Remainder = &ending{ReadCloser: a.Remainder, end: func() { leave(); cancel() }}
+	a.Remainder = &closingBody{ReadCloser: a.Remainder, onClose: func() { leave(); cancel() }}
 	return a
 }
 
-// ending calls a function when a body is closed.
-type ending struct {
+// closingBody calls a function when the body is closed.
+type closingBody struct {
 	io.ReadCloser
-	end func()
+	onClose func()
 }
 
 // Close closes the body and ends the request.
-func (e *ending) Close() error {
+func (e *closingBody) Close() error {
 	err := e.ReadCloser.Close()
-	e.end()
+	e.onClose()
 	return err
 }
 
@@ -106,8 +105,8 @@
 	return r
 }
 
-// givenUp is the final answer to a request that won't be tried again.
-func givenUp(o stream.Outcome, err error) *Response {
+// finalResponse returns the final response to a request that is not tried again.
+func finalResponse(o stream.Outcome, err error) *Response {
 	a := &Response{Outcome: o, Status: http.StatusBadGateway, Failure: err.Error(), RetryAfter: time.Second}
 	var r *Rejection
 	switch {
@@ -126,8 +125,8 @@
 	return a
 }
 
-// call claims, if that is needed, and sends until there is a final answer.
-func (p *pool) call(ctx context.Context, c *Call, l *life) *Response {
+// call claims the key if necessary, and sends until there is a final response.
+func (p *pool) call(ctx context.Context, c *Call, l *progress) *Response {
 	l.fire("admit")
 	if c.Claim == nil {
 		return p.send(ctx, c, l)
@@ -146,15 +145,15 @@
 	return a
 }
 
-func (p *pool) send(ctx context.Context, c *Call, l *life) *Response {
-	tried := newTries()
+func (p *pool) send(ctx context.Context, c *Call, l *progress) *Response {
+	tried := newAttempts()
 	for {
 		t, ok := p.legacy(c)
 		if !ok {
 			t, ok = p.pick(c.Service, &route.Prompt{}, tried)
 		}
 		if !ok {
-			return givenUp(l.giveUp(), p.nobody(c.ID))
+			return finalResponse(l.giveUp(), p.rejectNoUpstream(c.ID))
 		}
 		l.fire("route")
 		l.fire("send")
@@ -162,32 +161,31 @@
 		a, err := p.sendOnce(ctx, c, &t)
 		if err == nil {
 			l.fire("finish")
-			p.d.answered(c.identity)
+			p.d.recordComplete(c.identity)
 			return a
 		}
-		l.failed(err)
-		p.d.broke(ctx, err, c.identity, &t.fact)
-		if r := p.d.held(c.identity); r != nil {
-			return givenUp(l.giveUp(), r)
+		l.attemptFailed(err)
+		p.d.recordSevered(ctx, err, c.identity, &t.fact)
+		if r := p.d.recheckQuarantine(c.identity); r != nil {
+			return finalResponse(l.giveUp(), r)
 		}
-		tried.note(t.fact.ID, err, p.d.o.Clock.Since(sent))
-		if p.d.endedElsewhere(c.identity, tried) {
-			return givenUp(l.giveUp(), err)
+		tried.record(t.fact.ID, err, p.d.o.Clock.Since(sent))
+		if p.d.crashedElsewhere(c.identity, tried) {
+			return finalResponse(l.giveUp(), err)
 		}
-		again := p.again(tried, retry.Attempt{
+		again := p.mayRetry(tried, retry.Attempt{
 			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
 			Left: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
-			return givenUp(l.giveUp(), err)
+			return finalResponse(l.giveUp(), err)
 		}
 		p.d.o.Event("retry", c.ID, fmt.Sprintf("%s: %v", t.fact.ID, err))
 	}
 }
 
-// legacy returns the address that a share of the callers is still served at. The
-// share is of callers, not of calls, and grows by adding callers to it: whoever was
-// moved at 20 per cent stays moved at 10.
+// legacy returns the address that still serves a share of the callers. The share is of callers, not of calls, and
+// the callers at 10 per cent are a part of those at 20: one moved off the address at 20 per cent stays off at 10.
 func (p *pool) legacy(c *Call) (target, bool) {
 	l := &c.Service.Legacy
 	if l.Percent <= 0 || !IsLegacyCaller(c.Workspace, c.Caller, l.Percent) {
@@ -200,8 +198,7 @@
 	return target{fact: f}, true
 }
 
-// IsLegacyCaller tells whether a caller belongs to the share that is still served at
-// the legacy address.
+// IsLegacyCaller reports whether a caller belongs to the share that is still served at the legacy address.
 func IsLegacyCaller(workspace, caller string, percent float64) bool {
 	h := route.HashID(workspace + "\x00" + caller)
 	return float64(h%10000) < percent*100
@@ -210,46 +207,46 @@
 func (p *pool) sendOnce(ctx context.Context, c *Call, t *target) (*Response, error) {
 	r, err := c.request(ctx, t.fact.Address)
 	if err != nil {
-		p.landed(t.fact.ID, err, false)
+		p.recordOutcome(t.fact.ID, err, false)
 		return nil, err
 	}
 	s, err := p.d.o.Client.Do(r, *c.Rule.Repeatable)
 	if err != nil {
-		p.landed(t.fact.ID, err, ctx.Err() == nil)
+		p.recordOutcome(t.fact.ID, err, ctx.Err() == nil)
 		return nil, err
 	}
 	if c.Service.Refused(s.StatusCode) {
 		_ = s.Body.Close()
 		err := upstream.Refused(s, "")
-		p.landed(t.fact.ID, err, false)
+		p.recordOutcome(t.fact.ID, err, false)
 		return nil, err
 	}
 	if id := s.Header.Get("X-Request-Id"); id != "" && id != c.ID {
 		_ = s.Body.Close()
-		p.landed(t.fact.ID, upstream.ErrForeign, true)
+		p.recordOutcome(t.fact.ID, upstream.ErrForeign, true)
 		return nil, upstream.ErrForeign
 	}
-	a, err := hold(s)
-	p.landed(t.fact.ID, err, ctx.Err() == nil)
+	a, err := readResponse(s)
+	p.recordOutcome(t.fact.ID, err, ctx.Err() == nil)
 	return a, err
 }
 
-// hold reads an answer's body as far as it is held.
-func hold(s *http.Response) (*Response, error) {
-	b, err := io.ReadAll(io.LimitReader(s.Body, heldBody))
+// readResponse reads a response's body up to the buffer limit.
+func readResponse(s *http.Response) (*Response, error) {
+	b, err := io.ReadAll(io.LimitReader(s.Body, maxBufferedBody))
 	if err != nil {
 		_ = s.Body.Close()
-		return nil, fmt.Errorf("%w: the answer broke off: %w", lost(err), err)
+		return nil, fmt.Errorf("%w: the answer broke off: %w", readError(err), err)
 	}
 	a := &Response{Outcome: stream.OutcomeDone, Status: s.StatusCode, Header: s.Header, Body: b}
-	if len(b) == heldBody {
+	if len(b) == maxBufferedBody {
 		a.Remainder = s.Body
 		return a, nil
 	}
 	return a, s.Body.Close()
 }
 
-// hopByHop headers belong to one connection and are not passed on.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Proxy-Connection", "Authorization", "Host",
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -1,10 +1,9 @@
-// Package dispatch takes an admitted request to an upstream and stays with it
-// until it is accounted for. It is the shell around the pure decisions: admit says
-// when, route says where, retry says whether again, and this package does it and
-// tells them what came of it.
+// Package dispatch sends an admitted request to an upstream and follows it until its outcome is known. It
+// performs the input and output for packages that only decide: admit decides when a request starts, route
+// where it goes, and retry whether it is sent again; this package acts on that and reports the results back.
 //
-// pool.go holds the state of one pool; chat.go runs streams, plain.go runs calls,
-// and move.go takes streams off an upstream that leaves.
+// pool.go holds the state of one pool; chat.go runs streams, plain.go runs calls, and move.go moves streams
+// off an upstream that is leaving.
 package dispatch
 
 import (
@@ -28,40 +27,40 @@
 
 var errs = errorx.NewNamespace("dispatch")
 
-// ErrRejected says that the request was refused before anything was sent.
+// ErrRejected means that the request was rejected before anything was sent.
 var ErrRejected = errs.NewType("refused").New("refused, nothing was sent")
 
-// Rejection is ErrRefused with the time to come back at.
+// Rejection is ErrRejected with a retry time.
 type Rejection struct {
-	cause  string
-	after  time.Duration
-	nobody bool // it is errNobody, too
+	cause      string
+	after      time.Duration
+	noUpstream bool // also matches errNoUpstream
 }
 
 // Error returns the cause.
 func (r *Rejection) Error() string { return r.cause }
 
-// Is makes errors.Is(err, ErrRefused) hold.
+// Is makes errors.Is(err, ErrRejected) true.
 func (r *Rejection) Is(target error) bool {
-	return target == ErrRejected || r.nobody && target == errNobody //nolint:errorlint // sentinels
+	return target == ErrRejected || r.noUpstream && target == errNoUpstream //nolint:errorlint // sentinels
 }
 
-// RetryAfter returns when to come back.
+// RetryAfter returns how long the caller should wait before a retry.
 func (r *Rejection) RetryAfter() time.Duration { return r.after }
 
-// Options sets a dispatcher.
+// Options configures a dispatcher.
 type Options struct {
 	Node          string
 	Hall          string
 	Clock         *timer.Service
 	Client        *upstream.Client
 	Table         *member.Table
-	Nodes         func() int // live nodes, this one included
+	Nodes         func() int // number of live nodes, including this one
 	Event         func(name, request, detail string)
-	HallReachable func(ctx context.Context, hall string) bool // the way to a hall is open
-	ExchangeSoon  func()                                      // there is something that other nodes should know at once
+	HallReachable func(ctx context.Context, hall string) bool // reports whether a hall can be reached over the network
+	ExchangeSoon  func()                                      // requests an early exchange of state with other nodes
 	Policy        route.Policy
-	Distance      time.Duration // one way, to an upstream in another hall
+	Distance      time.Duration // one-way delay to an upstream in another hall
 }
 
 // Dispatcher holds the pools. It is safe for concurrent use.
@@ -71,47 +70,47 @@
 	mu    sync.Mutex
 	pools map[string]*pool
 
-	suspects *quarantine.Book
+	quarantine *quarantine.Book
 }
 
-// New returns a dispatcher without pools; they come with use.
+// New returns a dispatcher without pools; they are created on first use.
 func New(o Options) *Dispatcher {
-	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), suspects: quarantine.NewBook(o.Node)}
+	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), quarantine: quarantine.NewBook(o.Node)}
 }
 
 func (d *Dispatcher) now() time.Duration { return d.o.Clock.Since(d.start) }
 
-// pool is one service's upstreams as this node uses them.
+// pool is the state that this node keeps of one service's upstreams.
 type pool struct {
-	mu        sync.Mutex
-	d         *Dispatcher
-	name      string
-	router    *route.Router
-	outliers  *retry.Outliers
-	admission *admit.Controller
-	budget    *retry.Budget
-	flights   map[string]*flight
-	waiting   map[string]chan bool
-	change    uint64
-	refreshed time.Duration
-	list      []member.Seen
-	cands     []route.Candidate
-	moving    map[string]*move // streams, by request id
-	rests     *retry.Rests     // that upstreams have asked of this node
-	turns     retry.Turns      // of callers that are turned away while all rest
-	spent     money
-	perToken  float64 // seconds, smoothed over all upstreams
+	mu           sync.Mutex
+	d            *Dispatcher
+	name         string
+	router       *route.Router
+	outliers     *retry.Outliers
+	admission    *admit.Controller
+	budget       *retry.Budget
+	inFlight     map[string]*inFlight
+	waiting      map[string]chan bool
+	tableVersion uint64
+	refreshedAt  time.Duration
+	list         []member.Seen
+	candidates   []route.Candidate
+	streams      map[string]*activeStream // by request id
+	cooldowns    *retry.Rests             // requested by upstreams from this node
+	turns        retry.Turns              // of callers rejected while all upstreams are in cooldown
+	totals       totals
+	perToken     float64 // seconds, smoothed over all upstreams
 }
 
-// flight is what this node has in flight at one upstream.
-type flight struct {
-	now      int32
-	since    int32 // dispatched since the report numbered sequence
-	sequence uint64
-	perToken float64 // seconds, smoothed; 0: not measured
+// inFlight is the work that this node has in progress at one upstream.
+type inFlight struct {
+	running     int32
+	sinceReport int32 // dispatched since the report numbered sequence
+	sequence    uint64
+	perToken    float64 // seconds, smoothed; 0 if not measured
 }
 
-type money struct {
+type totals struct {
 	tokens   int64
 	cached   int64
 	resumed  int64
@@ -121,15 +120,15 @@
 const (
 	liveReserve  = 0.25
 	ejectedShare = 0.34
-	// maxAttempts bounds the upstreams that one request reaches, budget or not, and worthwhile is the
-	// time left that makes another try worth its cost.
-	maxAttempts   = 4
-	worthwhile    = 20 * time.Millisecond
-	retryShare    = 0.1
-	retryFloor    = 2.0
-	slotsPerPlain = 16 // of a plain upstream that states none
-	// nodeOvercommit lets a node use more than its even share of a pool, since the
-	// balancer doesn't spread evenly; the upstream's own queue evens it out.
+	// maxAttempts bounds the upstreams that one request reaches, whatever the retry budget allows. minTimeLeft
+	// is the least remaining time that justifies the cost of another attempt.
+	maxAttempts       = 4
+	minTimeLeft       = 20 * time.Millisecond
+	retryShare        = 0.1
+	retryFloor        = 2.0
+	defaultPlainSlots = 16 // for a plain upstream that states none
+	// nodeOvercommit lets a node use more than an even share of a pool, since the load balancer does not spread
+	// requests evenly; the upstream's own queue absorbs the excess.
 	nodeOvercommit = 1.5
 )
 
@@ -144,33 +143,33 @@
 			outliers:  retry.NewOutliers(ejectedShare),
 			admission: admit.New(admit.Options{Reserve: liveReserve}),
 			budget:    retry.NewBudget(retryShare, retryFloor),
-			flights:   make(map[string]*flight),
+			inFlight:  make(map[string]*inFlight),
 			waiting:   make(map[string]chan bool),
-			moving:    make(map[string]*move),
-			rests:     retry.NewRests(),
+			streams:   make(map[string]*activeStream),
+			cooldowns: retry.NewRests(),
 		}
 		d.pools[name] = p
 	}
 	return p
 }
 
-// refreshLocked brings the list of upstreams and the number of slots up to date.
+// refreshLocked updates the list of upstreams and the number of slots.
 func (p *pool) refreshLocked() {
 	c, now := p.d.o.Table.Upstreams(), p.d.now()
-	if c == p.change && p.list != nil && now-p.refreshed < refreshEvery {
+	if c == p.tableVersion && p.list != nil && now-p.refreshedAt < refreshEvery {
 		return
 	}
-	p.change, p.refreshed = c, now
+	p.tableVersion, p.refreshedAt = c, now
 	p.list = p.d.o.Table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Service == p.name && f.Status == member.StatusLive
 	})
-	p.cands = p.cands[:0]
+	p.candidates = p.candidates[:0]
 	slots := 0.0
 	for i := range p.list {
 		f := &p.list[i]
 		n := f.Slots
 		if n == 0 {
-			n = slotsPerPlain
+			n = defaultPlainSlots
 		}
 		slots += float64(n)
 		c := route.Candidate{
@@ -183,7 +182,7 @@
 		if f.Reclaimable {
 			c.ReclaimRate = reclaimsPerHour
 		}
-		p.cands = append(p.cands, c)
+		p.candidates = append(p.candidates, c)
 	}
 	if n := float64(max(p.d.o.Nodes(), 1)); n > 1 {
 		slots = math.Min(slots, math.Max(1, slots/n*nodeOvercommit))
@@ -191,11 +190,10 @@
 	p.wakeLocked(p.admission.SetSlots(p.d.now(), slots))
 }
 
-// refreshEvery is how soon a change in the number of nodes, which share the slots, is
-// noticed.
+// refreshEvery bounds how late a change in the number of nodes, which share the slots, is noticed.
 const refreshEvery = time.Second
 
-// reclaimsPerHour is taken for a reclaimable VM until the platform tells better.
+// reclaimsPerHour is assumed for a reclaimable VM until the platform states a rate.
 const reclaimsPerHour = 0.5
 
 func (p *pool) wakeLocked(ids []string) {
@@ -207,7 +205,7 @@
 	}
 }
 
-// enter waits until the request may start. The function it returns ends it.
+// enter waits until the request may start. The function it returns ends the request.
 func (p *pool) enter(ctx context.Context, r admit.Request) (func(), error) {
 	p.mu.Lock()
 	p.refreshLocked()
@@ -241,9 +239,9 @@
 	select {
 	case started = <-c:
 	case <-x:
-		started = p.withdraw(r.ID, c)
+		started = p.cancelWait(r.ID, c)
 	case <-ctx.Done():
-		started = p.withdraw(r.ID, c)
+		started = p.cancelWait(r.ID, c)
 	}
 	if started {
 		return func() { p.leave(r.ID) }, nil
@@ -251,8 +249,8 @@
 	return nil, &Rejection{cause: string(admit.CauseExpired), after: time.Second}
 }
 
-// withdraw takes a request out of the queue; it may have been started meanwhile.
-func (p *pool) withdraw(id string, c chan bool) bool {
+// cancelWait removes a request from the queue and reports whether it has been started in the meantime.
+func (p *pool) cancelWait(id string, c chan bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
@@ -273,35 +271,35 @@
 	p.wakeLocked(p.admission.Done(p.d.now(), id))
 }
 
-// target is the upstream that an attempt goes to.
+// target is the upstream of an attempt.
 type target struct {
 	fact   member.Fact
 	choice route.Choice
 }
 
-// pick chooses an upstream that isn't in tried, and counts the dispatch.
-func (p *pool) pick(s *config.Service, prompt *route.Prompt, tried *tries) (target, bool) {
+// pick chooses an upstream that is not in tried, and counts the dispatch.
+func (p *pool) pick(s *config.Service, prompt *route.Prompt, tried *attempts) (target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refreshLocked()
 	now := p.d.now()
 	at := p.d.o.Clock.Now()
-	fresh := tried.bound.Next() == retry.SearchFresh
-	for i := range p.cands {
-		c, f := &p.cands[i], &p.list[i]
-		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Left(at, retry.Lifetime{ID: c.ID}) > 0
+	fresh := tried.search.Next() == retry.SearchFresh
+	for i := range p.candidates {
+		c, f := &p.candidates[i], &p.list[i]
+		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.cooldowns.Left(at, retry.Lifetime{ID: c.ID}) > 0
 		c.LoadAge = at.Sub(f.At)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
-		if v := p.flights[c.ID]; v != nil {
-			c.InFlight = v.now
+		if v := p.inFlight[c.ID]; v != nil {
+			c.InFlight = v.running
 			c.Slowness = p.slownessLocked(v)
 			if v.sequence == f.Sequence {
-				c.SinceReport = v.since
+				c.SinceReport = v.sinceReport
 			}
 		}
 	}
 	p.router.Weigh(s.Weights.Cost, s.Weights.Recompute)
-	c := p.router.Pick(prompt, p.cands)
+	c := p.router.Pick(prompt, p.candidates)
 	if c.Index < 0 {
 		return target{}, false
 	}
@@ -313,21 +311,21 @@
 
 const (
 	perTokenGain = 0.1
-	// mostSlow bounds how much a measurement counts, so that an upstream that was slow
-	// once still gets a request now and then and can show that it no longer is.
-	mostSlow = 4.0
+	// maxSlowness bounds the weight of a measurement, so that an upstream that was slow still gets an occasional
+	// request and can show that it has recovered.
+	maxSlowness = 4.0
 )
 
-// slownessLocked relates an upstream's time per token to the pool's mean.
-func (p *pool) slownessLocked(v *flight) float64 {
+// slownessLocked returns an upstream's time per token relative to the pool's mean.
+func (p *pool) slownessLocked(v *inFlight) float64 {
 	if v.perToken == 0 || p.perToken == 0 {
 		return 0
 	}
-	return min(max(v.perToken/p.perToken, 1/mostSlow), mostSlow)
+	return min(max(v.perToken/p.perToken, 1/maxSlowness), maxSlowness)
 }
 
-// measured takes in how long an attempt took for so many tokens.
-func (p *pool) measured(id string, d time.Duration, tokens int) {
+// recordDuration records how long an attempt took for a number of tokens.
+func (p *pool) recordDuration(id string, d time.Duration, tokens int) {
 	if tokens < 2 {
 		return
 	}
@@ -336,7 +334,7 @@
 	defer p.mu.Unlock()
 	p.router.Learn(d)
 	smooth(&p.perToken, t)
-	if v := p.flights[id]; v != nil {
+	if v := p.inFlight[id]; v != nil {
 		smooth(&v.perToken, t)
 	}
 }
@@ -350,28 +348,28 @@
 }
 
 func (p *pool) countLocked(f *member.Fact) {
-	v := p.flights[f.ID]
+	v := p.inFlight[f.ID]
 	if v == nil {
-		v = &flight{}
-		p.flights[f.ID] = v
+		v = &inFlight{}
+		p.inFlight[f.ID] = v
 	}
 	if v.sequence != f.Sequence {
-		v.sequence, v.since = f.Sequence, 0
+		v.sequence, v.sinceReport = f.Sequence, 0
 	}
-	v.now++
-	v.since++
+	v.running++
+	v.sinceReport++
 }
 
-// landed counts an attempt out and notes how it went. Failures are of the
-// upstream's own doing only: a refusal or a cancelled caller isn't one.
-func (p *pool) landed(id string, err error, blame bool) {
+// recordOutcome ends the count of an attempt and records its outcome. Only failures caused by the upstream count
+// against it: a rejection or a cancelled caller does not.
+func (p *pool) recordOutcome(id string, err error, blame bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if v := p.flights[id]; v != nil {
-		v.now--
-		if v.now == 0 {
+	if v := p.inFlight[id]; v != nil {
+		v.running--
+		if v.running == 0 {
 			if _, ok := p.d.o.Table.Get(id); !ok {
-				delete(p.flights, id)
+				delete(p.inFlight, id)
 			}
 		}
 	}
@@ -380,7 +378,7 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.rests.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
+	if d := upstream.RestAsked(err); d > 0 && p.cooldowns.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
@@ -392,7 +390,7 @@
 	}
 }
 
-// Stats is what a node tells of a pool.
+// Stats is what a node reports about a pool.
 type Stats struct {
 	Running  int   `json:"running"`
 	Waiting  int   `json:"waiting"`
@@ -414,8 +412,8 @@
 	for _, p := range list {
 		p.mu.Lock()
 		r[p.name] = Stats{
-			Running: p.admission.Running(), Waiting: p.admission.Waiting(), Requests: p.spent.requests,
-			Tokens: p.spent.tokens, Cached: p.spent.cached, Resumed: p.spent.resumed,
+			Running: p.admission.Running(), Waiting: p.admission.Waiting(), Requests: p.totals.requests,
+			Tokens: p.totals.tokens, Cached: p.totals.cached, Resumed: p.totals.resumed,
 		}
 		p.mu.Unlock()
 	}
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -6,16 +6,15 @@
 	"spurhall.example/spurhall/internal/retry"
 )
 
-// This file is what a pool tells callers when no upstream can take their request, since upstreams
-// that refuse may ask for rest: sooner, callers come back in vain.
+// This file determines the retry time when no upstream can take a request. Upstreams that reject requests may
+// ask for a cooldown; callers that retry sooner are rejected again.
 
-// returnsAfter is when a caller is told to come back where nobody takes its request and no upstream
-// has said when it will.
-const returnsAfter = time.Second
+// defaultRetryAfter is the retry time if no upstream can take a request and none has asked for a cooldown.
+const defaultRetryAfter = time.Second
 
-// nobody is the refusal where no upstream can take a request, with the time until its caller's turn where all of
-// them rest. How soon it comes says nothing of how long requests last.
-func (p *pool) nobody(id string) error {
+// rejectNoUpstream returns the rejection for a request that no upstream can take. If all upstreams are in cooldown, it
+// states when it is the caller's turn. Such early rejections say nothing about how long requests take.
+func (p *pool) rejectNoUpstream(id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.admission.Unserved(id)
@@ -23,10 +22,10 @@
 	for i := range p.list {
 		list[i] = retry.Lifetime{ID: p.list[i].ID}
 	}
-	now, after := p.d.o.Clock.Now(), returnsAfter
-	if rest := p.rests.Soonest(now, list); rest > 0 {
+	now, after := p.d.o.Clock.Now(), defaultRetryAfter
+	if cooldown := p.cooldowns.Soonest(now, list); cooldown > 0 {
 		slots, perSecond := p.admission.Room()
-		after = p.turns.Take(now, rest, slots, perSecond)
+		after = p.turns.Take(now, cooldown, slots, perSecond)
 	}
-	return &Rejection{cause: errNobody.Error(), after: after, nobody: true}
+	return &Rejection{cause: errNoUpstream.Error(), after: after, noUpstream: true}
 }
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -13,11 +13,11 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file keeps requests that end upstreams from reaching more of them (package quarantine).
-// A job is the worst of these: it is tried until its deadline, by one node after the other.
+// This file keeps requests that crash upstreams from reaching more of them (package quarantine). Jobs do the
+// most damage: they are retried until their deadline, by one node after another.
 
 func (c *Chat) identity() quarantine.Request {
-	b, _ := json.Marshal(c.Body) // came as JSON
+	b, _ := json.Marshal(c.Body) // was decoded from JSON
 	return quarantine.Request{Method: "chat", Target: c.Service.Name, Workspace: c.Workspace, Body: b}
 }
 
@@ -25,55 +25,54 @@
 	return quarantine.Request{Method: c.Method, Host: c.Service.Name, Target: c.Path, Workspace: c.Workspace, Body: c.Body}
 }
 
-// print returns the print of a request, if upstreams have ended under some like it.
-func (d *Dispatcher) print(of func() quarantine.Request) (quarantine.Print, bool) {
-	if !d.suspects.Knows(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
+// fingerprint returns the fingerprint of a request, if upstreams have crashed under similar ones.
+func (d *Dispatcher) fingerprint(of func() quarantine.Request) (quarantine.Print, bool) {
+	if !d.quarantine.Knows(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
 		return quarantine.Print{}, false
 	}
 	return quarantine.PrintOf(of()), true
 }
 
-const heldCause = "requests like this end the upstreams that run them"
+const quarantineCause = "requests like this end the upstreams that run them"
 
-// withheld refuses a request that is held back when it comes; nil: it isn't.
-func (d *Dispatcher) withheld(of func() quarantine.Request) *Rejection {
-	p, ok := d.print(of)
+// checkQuarantine returns the rejection of an arriving request that is quarantined, or nil.
+func (d *Dispatcher) checkQuarantine(of func() quarantine.Request) *Rejection {
+	p, ok := d.fingerprint(of)
 	if !ok {
 		return nil
 	}
-	v := d.suspects.Check(d.o.Clock.Now(), p)
+	v := d.quarantine.Check(d.o.Clock.Now(), p)
 	if !v.Held {
 		return nil
 	}
-	return &Rejection{cause: heldCause, after: v.Wait}
+	return &Rejection{cause: quarantineCause, after: v.Wait}
 }
 
-// held is withheld for a request that has been sent.
-func (d *Dispatcher) held(of func() quarantine.Request) *Rejection {
-	p, ok := d.print(of)
+// recheckQuarantine returns the rejection of a request in progress that has been quarantined, or nil.
+func (d *Dispatcher) recheckQuarantine(of func() quarantine.Request) *Rejection {
+	p, ok := d.fingerprint(of)
 	if !ok {
 		return nil
 	}
-	if w := d.suspects.Wait(d.o.Clock.Now(), p); w > 0 {
-		return &Rejection{cause: heldCause, after: w}
+	if w := d.quarantine.Wait(d.o.Clock.Now(), p); w > 0 {
+		return &Rejection{cause: quarantineCause, after: w}
 	}
 	return nil
 }
 
-// endedElsewhere tells whether copies of a request that has reached an upstream have ended others: it isn't
-// sent once more then.
-func (d *Dispatcher) endedElsewhere(of func() quarantine.Request, tried *tries) bool {
+// crashedElsewhere reports whether copies of a request that has reached an upstream have crashed others; it is
+// not sent again then.
+func (d *Dispatcher) crashedElsewhere(of func() quarantine.Request, tried *attempts) bool {
 	if !tried.reachedAny() {
 		return false
 	}
-	p, ok := d.print(of)
-	return ok && !d.suspects.Repeats(p, tried.reached)
+	p, ok := d.fingerprint(of)
+	return ok && !d.quarantine.Repeats(p, tried.reached)
 }
 
-// broke takes in that an attempt failed, if its upstream ended under it: it broke the
-// connection, hadn't announced that it leaves, and doesn't listen any more, though the way to
-// its hall is open.
-func (d *Dispatcher) broke(ctx context.Context, err error, of func() quarantine.Request, f *member.Fact) {
+// recordSevered records a failed attempt as a crash if the upstream broke the connection, had not announced that it
+// is leaving, and does not listen any more although its hall is reachable.
+func (d *Dispatcher) recordSevered(ctx context.Context, err error, of func() quarantine.Request, f *member.Fact) {
 	if ctx.Err() != nil || !errors.Is(err, upstream.ErrSevered) {
 		return
 	}
@@ -86,18 +85,18 @@
 	now := d.o.Clock.Now()
 	p := quarantine.PrintOf(of())
 	d.o.Event("upstream_ended", "", f.ID+" under "+p.String())
-	d.changed(d.suspects.Broke(now, quarantine.End{Print: p, Upstream: f.ID, At: now}))
+	d.logChanges(d.quarantine.Broke(now, quarantine.End{Print: p, Upstream: f.ID, At: now}))
 	d.o.ExchangeSoon()
 }
 
-// answered takes in that a request was answered whole.
-func (d *Dispatcher) answered(of func() quarantine.Request) {
-	if p, ok := d.print(of); ok {
-		d.changed(d.suspects.Answered(d.o.Clock.Now(), p))
+// recordComplete records that a request received a complete response.
+func (d *Dispatcher) recordComplete(of func() quarantine.Request) {
+	if p, ok := d.fingerprint(of); ok {
+		d.logChanges(d.quarantine.Answered(d.o.Clock.Now(), p))
 	}
 }
 
-func (d *Dispatcher) changed(list []quarantine.Change) {
+func (d *Dispatcher) logChanges(list []quarantine.Change) {
 	for _, c := range list {
 		if c.Alike {
 			d.o.Event(map[bool]string{true: "shape_held", false: "shape_released"}[c.Held], "", fmt.Sprintf("shape %d, %s", c.Print.Shape(), strings.Join(c.Upstreams, " ")))
@@ -111,20 +110,20 @@
 	}
 }
 
-// Suspicions is what this node tells others of requests that end upstreams; nil: nothing.
+// Suspicions returns what this node reports to others about requests that crash upstreams; nil if nothing.
 func (d *Dispatcher) Suspicions() *wire.Suspicions {
 	now := d.o.Clock.Now()
-	return d.suspects.Words(now).ToWire(now)
+	return d.quarantine.Words(now).ToWire(now)
 }
 
-// ApplySuspicions takes in what another node told of them.
+// ApplySuspicions merges another node's suspicions.
 func (d *Dispatcher) ApplySuspicions(m *wire.Suspicions) {
 	now := d.o.Clock.Now()
-	d.changed(d.suspects.Hear(now, quarantine.WordsFromWire(now, m)))
+	d.logChanges(d.quarantine.Hear(now, quarantine.WordsFromWire(now, m)))
 }
 
-// lost is what a failure to read an answer's body means.
-func lost(err error) error {
+// readError classifies a failure to read a response's body.
+func readError(err error) error {
 	if upstream.Severed(err) {
 		return upstream.ErrSevered
 	}
--- a/internal/dispatch/tries.go
+++ b/internal/dispatch/tries.go
@@ -8,36 +8,36 @@
 	"spurhall.example/spurhall/internal/upstream"
 )
 
-// tries is the upstreams that a request was tried at, and whether it reached them.
-type tries struct {
-	at    map[string]bool
-	bound retry.Tries
+// attempts records the upstreams that a request was sent to, and whether it reached them.
+type attempts struct {
+	reachedBy map[string]bool
+	search    retry.Tries
 }
 
-func newTries() *tries { return &tries{at: make(map[string]bool)} }
+func newAttempts() *attempts { return &attempts{reachedBy: make(map[string]bool)} }
 
-// note notes a try that failed after a time. An address that callers are pinned to may be tried again; that it
-// refuses connections is known then, and bounded like any other failure.
-func (t *tries) note(id string, err error, after time.Duration) {
+// record records an attempt that failed after a time. An address to which callers are pinned may be tried
+// again; it is known by then to refuse connections, so repeats are bounded like any other failure.
+func (t *attempts) record(id string, err error, after time.Duration) {
 	missed, known := errors.Is(err, upstream.ErrNotSent), t.has(id)
-	t.at[id] = !missed
+	t.reachedBy[id] = !missed
 	if missed && !known {
-		t.bound.Missed(after)
+		t.search.Missed(after)
 	} else {
-		t.bound.Turned()
+		t.search.Turned()
 	}
 }
 
-func (t *tries) has(id string) bool {
-	_, ok := t.at[id]
+func (t *attempts) has(id string) bool {
+	_, ok := t.reachedBy[id]
 	return ok
 }
 
-func (t *tries) reached(id string) bool { return t.at[id] }
+func (t *attempts) reached(id string) bool { return t.reachedBy[id] }
 
-// reachedAny tells whether the request has reached an upstream.
-func (t *tries) reachedAny() bool {
-	for _, v := range t.at {
+// reachedAny reports whether the request has reached an upstream.
+func (t *attempts) reachedAny() bool {
+	for _, v := range t.reachedBy {
 		if v {
 			return true
 		}
@@ -45,15 +45,15 @@
 	return false
 }
 
-// again tells whether another upstream may be tried, for a request that has so much time left. Tries that
-// reached none cost nothing of the budget, which keeps load from multiplying.
-func (p *pool) again(t *tries, a retry.Attempt) bool {
-	if t.bound.Next() == retry.SearchOver {
+// mayRetry decides whether another upstream may be tried, for a request with the given time left. Attempts that reached
+// no upstream are not charged to the retry budget, which keeps retries from multiplying the load.
+func (p *pool) mayRetry(t *attempts, a retry.Attempt) bool {
+	if t.search.Next() == retry.SearchOver {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a.Sent, a.Most, a.Least = t.bound.Reached(), maxAttempts, worthwhile
+	a.Sent, a.Most, a.Least = t.search.Reached(), maxAttempts, minTimeLeft
 	v, _ := retry.Decide(a, func() bool { return !t.reachedAny() || p.budget.Take(p.d.now()) })
 	return v == retry.VerdictRetry
 }
--- a/internal/dispatch/tries_test.go
+++ b/internal/dispatch/tries_test.go
@@ -11,22 +11,22 @@
 	"spurhall.example/spurhall/internal/upstream"
 )
 
-// looks plays a request whose tries all fail with an error, and returns how many there were.
-func looks(err error, id func(i int) string) int {
-	t := newTries()
+// countAttempts simulates a request whose attempts all fail with an error, and returns their number.
+func countAttempts(err error, id func(i int) string) int {
+	t := newAttempts()
 	for i := range 500 {
-		if t.bound.Next() == retry.SearchOver || t.bound.Reached() >= maxAttempts {
+		if t.search.Next() == retry.SearchOver || t.search.Reached() >= maxAttempts {
 			return i
 		}
-		t.note(id(i), err, 100*time.Microsecond)
+		t.record(id(i), err, 100*time.Microsecond)
 	}
 	return 500
 }
 
-func TestTries(t *testing.T) {
-	t.Run("dead upstreams don't end the search", func(t *testing.T) { assert.Equal(t, 500, looks(upstream.ErrNotSent, strconv.Itoa)) })
-	t.Run("one dead address that is tried over and over does", func(t *testing.T) {
-		assert.LessOrEqual(t, looks(upstream.ErrNotSent, func(int) string { return "legacy" }), maxAttempts+1)
+func TestAttempts(t *testing.T) {
+	t.Run("unreachable upstreams do not end the search", func(t *testing.T) { assert.Equal(t, 500, countAttempts(upstream.ErrNotSent, strconv.Itoa)) })
+	t.Run("repeated attempts at one unreachable address end it", func(t *testing.T) {
+		assert.LessOrEqual(t, countAttempts(upstream.ErrNotSent, func(int) string { return "legacy" }), maxAttempts+1)
 	})
-	t.Run("nor are more reached than before", func(t *testing.T) { assert.Equal(t, maxAttempts, looks(upstream.ErrLost, strconv.Itoa)) })
+	t.Run("the number of upstreams reached stays bounded", func(t *testing.T) { assert.Equal(t, maxAttempts, countAttempts(upstream.ErrLost, strconv.Itoa)) })
 }
