--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -10,28 +10,28 @@
 	"spurhall.example/spurhall/internal/usage"
 )
 
-// This file is what a relay keeps: a record a node, whoever its relay is, and what the other
-// relays said last. Each change gets the next version of the book; an asker that knows the
-// book up to a version is told what changed since (tell.go).
+// This file holds a relay's state: one record for each node, whichever relay it reports to, and the latest
+// group received from each other relay. Each change gets the aggregator's next version; a node that knows the
+// state up to a version is sent the changes since then (Group and Digest).
 
-// record is one node as the relay knows it.
+// record is a relay's state of one node.
 type record struct {
-	lifetime string
-	sequence uint64
-	began    time.Time
-	heard    time.Time // when its relay heard it
-	relay    string
-	silent   bool
-	version  uint64 // of the newest change but of what was counted
-	counted  uint64 // version of the newest change of what was counted
-	left     uint64 // version of when it left for another relay
-	whole    uint64 // version of when all became new: a process began, or came to another relay
-	spent    map[string]counter
-	started  usage.Windows
-	loads    []pool.Load // of the relay's own nodes
-	reach    pool.Reach
-	trials   []rollout.Word
-	ended    []rollout.Word // of the node's processes before
+	incarnation   string
+	sequence      uint64
+	startedAt     time.Time
+	lastSeen      time.Time // when its relay received its report
+	relay         string
+	unresponsive  bool
+	version       uint64 // version of the newest change, except changes of started
+	countsVersion uint64 // version of the newest change of started
+	leftVersion   uint64 // version at which the node moved to another relay
+	resetVersion  uint64 // version of the last reset: a new process, or a move to another relay
+	spent         map[string]counter
+	started       usage.Windows
+	loads         []pool.Load // of nodes that report to this relay only
+	reachability  pool.Reach
+	trials        []rollout.Word
+	pastTrials    []rollout.Word // of the node's former processes
 }
 
 type counter struct {
@@ -39,237 +39,237 @@
 	version uint64
 }
 
-// group is another relay's word.
+// group is the latest state received from another relay.
 type group struct {
-	lifetime string
-	heard    time.Time
-	lost     bool // it isn't heard any more
-	version  uint64
-	share    pool.Share
-	trials   []rollout.Word
+	incarnation  string
+	receivedAt   time.Time
+	unresponsive bool // no group received recently
+	version      uint64
+	share        pool.Share
+	trials       []rollout.Word
 }
 
-type placing struct {
+type loggedPlacement struct {
 	pool.Placement
 	version uint64
 	at      time.Time
-	relay   string // that told it
+	relay   string // relay that sent it
 }
 
-// Aggregator is what one relay knows. It isn't safe for concurrent use.
+// Aggregator is the state of one relay. It is not safe for concurrent use.
 type Aggregator struct {
-	self     string
-	lifetime string
-	version  uint64
-	records  map[string]*record
-	groups   map[string]*group
-	placed   []placing
-	told     map[pool.Placement]time.Time
+	self         string
+	incarnation  string
+	version      uint64
+	records      map[string]*record
+	groups       map[string]*group
+	placementLog []loggedPlacement
+	lastLogged   map[pool.Placement]time.Time
 }
 
-// NewAggregator returns the book of one process.
-func NewAggregator(self, lifetime string) *Aggregator {
+// NewAggregator returns the aggregator of one process.
+func NewAggregator(self, incarnation string) *Aggregator {
 	return &Aggregator{
-		self: self, lifetime: lifetime, records: make(map[string]*record), groups: make(map[string]*group),
-		told: make(map[pool.Placement]time.Time),
+		self: self, incarnation: incarnation, records: make(map[string]*record), groups: make(map[string]*group),
+		lastLogged: make(map[pool.Placement]time.Time),
 	}
 }
 
-// ApplyReport takes in a report of a node that reports here.
-func (b *Aggregator) ApplyReport(now time.Time, r Report) {
-	v := b.record(r.Node, r.Incarnation, r.Sequence, now.Add(-r.Uptime))
+// ApplyReport applies a report of a node that reports to this relay.
+func (a *Aggregator) ApplyReport(now time.Time, r Report) {
+	v := a.recordForUpdate(r.Node, r.Incarnation, r.Sequence, now.Add(-r.Uptime))
 	if v == nil {
 		return
 	}
-	v.loads, v.trials, v.reach = r.Loads, r.Trials, r.Reachability
-	b.move(now, v, b.self)
-	b.spend(v, r.Spent)
-	b.count(v, r.Started)
-	b.place(now, b.self, r.Placed)
+	v.loads, v.trials, v.reachability = r.Loads, r.Trials, r.Reachability
+	a.setRelay(now, v, a.self)
+	a.mergeSpent(v, r.Spent)
+	a.mergeStarted(v, r.Started)
+	a.logPlacements(now, a.self, r.Placed)
 }
 
-// OwnNodeMoved notes that this book's own node reports to another relay.
-func (b *Aggregator) OwnNodeMoved(relay string) {
-	if v := b.records[b.self]; v != nil && v.relay == b.self {
-		v.left = b.next(v)
+// OwnNodeMoved records that the aggregator's own node reports to another relay.
+func (a *Aggregator) OwnNodeMoved(relay string) {
+	if v := a.records[a.self]; v != nil && v.relay == a.self {
+		v.leftVersion = a.nextVersion(v)
 		v.relay, v.loads = relay, nil
 	}
 }
 
-// record returns the record of a process that has something new to tell, or nil if it
-// hasn't: the report is known, or another process has taken its place.
-func (b *Aggregator) record(node, lifetime string, sequence uint64, began time.Time) *record {
-	v := b.records[node]
+// recordForUpdate returns the record to be updated, or nil if the report is outdated: it has been applied
+// already, or a newer process has replaced the one that it describes.
+func (a *Aggregator) recordForUpdate(node, incarnation string, sequence uint64, startedAt time.Time) *record {
+	v := a.records[node]
 	if v == nil {
 		v = &record{}
-		b.records[node] = v
+		a.records[node] = v
 	}
-	if v.lifetime == lifetime && sequence <= v.sequence || v.lifetime != lifetime && began.Before(v.began) {
+	if v.incarnation == incarnation && sequence <= v.sequence || v.incarnation != incarnation && startedAt.Before(v.startedAt) {
 		return nil
 	}
-	if v.lifetime != lifetime {
-		v.lifetime, v.began, v.spent, v.started = lifetime, began, make(map[string]counter), nil
-		v.ended, v.trials = rollout.Merge(v.ended, v.trials), nil
-		v.whole = b.next(v)
+	if v.incarnation != incarnation {
+		v.incarnation, v.startedAt, v.spent, v.started = incarnation, startedAt, make(map[string]counter), nil
+		v.pastTrials, v.trials = rollout.Merge(v.pastTrials, v.trials), nil
+		v.resetVersion = a.nextVersion(v)
 	}
 	v.sequence = sequence
 	return v
 }
 
-// next returns the version of a change to a record.
-func (b *Aggregator) next(v *record) uint64 {
-	b.version++
-	v.version = b.version
-	return b.version
+// nextVersion returns the version for a change of a record.
+func (a *Aggregator) nextVersion(v *record) uint64 {
+	a.version++
+	v.version = a.version
+	return a.version
 }
 
-// move notes that a node was heard at a relay.
-func (b *Aggregator) move(at time.Time, v *record, relay string) {
-	v.heard = at
-	if v.relay == b.self && relay != b.self {
-		v.left = b.next(v)
+// setRelay records that a node's report was received at a relay.
+func (a *Aggregator) setRelay(at time.Time, v *record, relay string) {
+	v.lastSeen = at
+	if v.relay == a.self && relay != a.self {
+		v.leftVersion = a.nextVersion(v)
 	}
-	if v.relay != relay || v.silent {
-		// Another relay knows of this book's changes only those of the nodes that were its
-		// own, and may have forgotten one that was silent: it is told everything.
-		v.relay, v.silent, v.whole = relay, false, b.next(v)
+	if v.relay != relay || v.unresponsive {
+		// Another relay has only received changes of the nodes that report here, and may have expired the
+		// record of an unresponsive one: it is sent the complete state.
+		v.relay, v.unresponsive, v.resetVersion = relay, false, a.nextVersion(v)
 	}
 }
 
-func (b *Aggregator) spend(v *record, spent map[string]float64) {
+func (a *Aggregator) mergeSpent(v *record, spent map[string]float64) {
 	for w, x := range spent {
 		if c, ok := v.spent[w]; !ok || c.value != x {
-			v.spent[w] = counter{x, b.next(v)}
+			v.spent[w] = counter{x, a.nextVersion(v)}
 		}
 	}
 }
 
-func (b *Aggregator) count(v *record, started usage.Windows) {
+func (a *Aggregator) mergeStarted(v *record, started usage.Windows) {
 	equal := func(x, y usage.Counts) bool { return maps.Equal(x, y) }
 	if !maps.EqualFunc(v.started, started, equal) {
-		b.version++
-		v.started, v.counted = started, b.version
+		a.version++
+		v.started, v.countsVersion = started, a.version
 	}
 }
 
-// place logs placements that weren't told a while ago.
-func (b *Aggregator) place(now time.Time, relay string, list []pool.Placement) {
+// logPlacements appends the placements that have not been logged recently.
+func (a *Aggregator) logPlacements(now time.Time, relay string, list []pool.Placement) {
 	for _, p := range list {
-		if t, ok := b.told[p]; ok && now.Sub(t) < placedAgain {
+		if t, ok := a.lastLogged[p]; ok && now.Sub(t) < placementRepeatAfter {
 			continue
 		}
-		b.told[p] = now
-		b.version++
-		b.placed = append(b.placed, placing{p, b.version, now, relay})
+		a.lastLogged[p] = now
+		a.version++
+		a.placementLog = append(a.placementLog, loggedPlacement{p, a.version, now, relay})
 	}
-	if over := len(b.placed) - placedLimit; over > 0 {
-		b.placed = slices.Delete(b.placed, 0, over)
+	if over := len(a.placementLog) - maxPlacements; over > 0 {
+		a.placementLog = slices.Delete(a.placementLog, 0, over)
 	}
 }
 
-// Expire notes which nodes aren't heard any more.
-func (b *Aggregator) Expire(now time.Time) {
-	for name, v := range b.records {
-		if v.relay == b.self && !v.silent && now.Sub(v.heard) > silentAfter {
-			v.silent, v.loads = true, nil
-			b.next(v)
+// Expire marks unresponsive nodes and relays, and deletes expired state.
+func (a *Aggregator) Expire(now time.Time) {
+	for name, v := range a.records {
+		if v.relay == a.self && !v.unresponsive && now.Sub(v.lastSeen) > unresponsiveAfter {
+			v.unresponsive, v.loads = true, nil
+			a.nextVersion(v)
 		}
-		if now.Sub(v.heard) > recordKeeps {
-			delete(b.records, name)
+		if now.Sub(v.lastSeen) > recordRetention {
+			delete(a.records, name)
 		}
 	}
-	maps.DeleteFunc(b.told, func(_ pool.Placement, t time.Time) bool { return now.Sub(t) > placedAgain })
-	maps.DeleteFunc(b.groups, func(_ string, g *group) bool { return now.Sub(g.heard) > recordKeeps })
-	b.lose(now)
+	maps.DeleteFunc(a.lastLogged, func(_ pool.Placement, t time.Time) bool { return now.Sub(t) > placementRepeatAfter })
+	maps.DeleteFunc(a.groups, func(_ string, g *group) bool { return now.Sub(g.receivedAt) > recordRetention })
+	a.detectLostRelays(now)
 }
 
-// lose notes which relays aren't heard any more. Their nodes may have come to others that
-// told so before, when it wasn't news; so these are asked for everything.
-func (b *Aggregator) lose(now time.Time) {
+// detectLostRelays marks unresponsive relays. Their nodes may have moved to other relays that reported this
+// earlier, when it changed nothing here; so the complete state is requested from all relays.
+func (a *Aggregator) detectLostRelays(now time.Time) {
 	lost := false
-	for _, g := range b.groups {
-		if !g.lost && now.Sub(g.heard) > silentAfter {
-			g.lost, lost = true, true
+	for _, g := range a.groups {
+		if !g.unresponsive && now.Sub(g.receivedAt) > unresponsiveAfter {
+			g.unresponsive, lost = true, true
 		}
 	}
 	if !lost {
 		return
 	}
-	for _, g := range b.groups {
+	for _, g := range a.groups {
 		g.version = 0
 	}
 }
 
-// KnownVersion returns the version of a relay's book up to which its changes are known here, and
-// the process that the version belongs to.
-func (b *Aggregator) KnownVersion(relay string) (lifetime string, version uint64) {
-	if g := b.groups[relay]; g != nil {
-		return g.lifetime, g.version
+// KnownVersion returns the version up to which a relay's changes are known here, and the incarnation of the
+// relay that the version belongs to.
+func (a *Aggregator) KnownVersion(relay string) (incarnation string, version uint64) {
+	if g := a.groups[relay]; g != nil {
+		return g.incarnation, g.version
 	}
 	return "", 0
 }
 
-// BaseVersion returns the version after which an asker that knows a process up to a version
-// has to be told of changes here.
-func (b *Aggregator) BaseVersion(lifetime string, version uint64) uint64 {
-	if lifetime != b.lifetime {
+// BaseVersion returns the version after which changes have to be sent to a node that knows an incarnation up
+// to a version.
+func (a *Aggregator) BaseVersion(incarnation string, version uint64) uint64 {
+	if incarnation != a.incarnation {
 		return 0
 	}
 	return version
 }
 
-// MergeGroup takes in another relay's word.
-func (b *Aggregator) MergeGroup(now time.Time, g Group) {
-	if g.Relay == b.self {
+// MergeGroup merges another relay's group.
+func (a *Aggregator) MergeGroup(now time.Time, g Group) {
+	if g.Relay == a.self {
 		return
 	}
-	if old := b.groups[g.Relay]; old != nil && old.lifetime != g.Incarnation {
-		b.orphan(g.Relay)
+	if old := a.groups[g.Relay]; old != nil && old.incarnation != g.Incarnation {
+		a.detachNodes(g.Relay)
 	}
-	b.groups[g.Relay] = &group{lifetime: g.Incarnation, version: g.Version, heard: now, share: g.Share, trials: g.Trials}
+	a.groups[g.Relay] = &group{incarnation: g.Incarnation, version: g.Version, receivedAt: now, share: g.Share, trials: g.Trials}
 	for _, c := range g.Changes {
-		b.takeChange(now, g.Relay, c)
+		a.mergeChange(now, g.Relay, c)
 	}
-	for _, v := range b.records {
-		if v.relay == g.Relay && !v.silent {
-			v.heard = now
+	for _, v := range a.records {
+		if v.relay == g.Relay && !v.unresponsive {
+			v.lastSeen = now
 		}
 	}
-	b.place(now, g.Relay, g.Placed)
+	a.logPlacements(now, g.Relay, g.Placed)
 }
 
-// orphan notes that a relay began anew: its nodes belong to it once it tells of them.
-func (b *Aggregator) orphan(relay string) {
-	for _, v := range b.records {
+// detachNodes records that a relay restarted: its former nodes belong to it again once it reports them.
+func (a *Aggregator) detachNodes(relay string) {
+	for _, v := range a.records {
 		if v.relay == relay {
 			v.relay = ""
-			b.next(v)
+			a.nextVersion(v)
 		}
 	}
 }
 
-// takeChange takes in what another relay tells of one of its nodes.
-func (b *Aggregator) takeChange(now time.Time, relay string, c Change) {
+// mergeChange merges a change that another relay sent of one of its nodes.
+func (a *Aggregator) mergeChange(now time.Time, relay string, c Change) {
 	if c.Sequence == 0 {
-		if v := b.records[c.Node]; v != nil && v.relay == relay && !v.silent {
-			v.silent = true
-			b.next(v)
+		if v := a.records[c.Node]; v != nil && v.relay == relay && !v.unresponsive {
+			v.unresponsive = true
+			a.nextVersion(v)
 		}
 		return
 	}
 	at := now.Add(-c.Age)
-	v := b.record(c.Node, c.Incarnation, c.Sequence, at.Add(-c.Uptime))
+	v := a.recordForUpdate(c.Node, c.Incarnation, c.Sequence, at.Add(-c.Uptime))
 	if v != nil {
-		b.spend(v, c.Spent)
-		b.count(v, c.Started)
-	} else if v = b.records[c.Node]; v.lifetime != c.Incarnation || v.relay != relay {
-		return // it has come to another relay since: that one has a later report
+		a.mergeSpent(v, c.Spent)
+		a.mergeStarted(v, c.Started)
+	} else if v = a.records[c.Node]; v.incarnation != c.Incarnation || v.relay != relay {
+		return // the node has moved to another relay, which has a later report
 	}
 	if !c.Unresponsive {
-		b.move(at, v, relay)
-	} else if !v.silent {
-		b.move(at, v, relay)
-		v.silent = true
-		b.next(v)
+		a.setRelay(at, v, relay)
+	} else if !v.unresponsive {
+		a.setRelay(at, v, relay)
+		v.unresponsive = true
+		a.nextVersion(v)
 	}
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -8,22 +8,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file says which nodes of a hall are its relays, and which of them a node reports to.
-// Every node finds the same from the same names; where views differ for a moment, a node
-// reports to one that doesn't take itself for a relay, which is one thereby.
+// This file determines which nodes of a hall are its relays, and which relay a node reports to. Every node
+// computes the same result from the same names. While views differ, a node may report to one that does not
+// consider itself a relay; receiving the report makes it one.
 
 const (
-	// nodesARelay is how many nodes report to one relay, at most: four calls a second each,
-	// which take a fifth of a VM of 0.192 cores, at an estimated 0.5 ms a call.
-	nodesARelay = 24
-	// leastRelays is how many relays a hall has at least, so that one is there which knows
-	// everything when another is lost.
-	leastRelays = 2
+	// nodesPerRelay is the most nodes that report to one relay: at four calls a second each, they take a fifth
+	// of a VM with 0.192 cores, at an estimated 0.5 ms a call.
+	nodesPerRelay = 24
+	// minRelays is the least number of relays in a hall, so that another one has the complete state if one is
+	// lost.
+	minRelays = 2
 )
 
-// RankNodes returns the names of a hall's nodes, by the cores that each has: the first ones do
-// what a hall has some nodes for. Those with most come first, the others by a hash of their
-// names: a relay with little of a core answers late when all nodes return at once.
+// RankNodes returns the names of a hall's nodes in the order in which they take on special duties. Nodes with
+// more cores come first, as a relay with a small share of a core responds late when all nodes return at once;
+// equal ones are ordered by a hash of their names.
 func RankNodes(nodes map[string]float64) []string {
 	names := slices.Collect(maps.Keys(nodes))
 	slices.SortFunc(names, func(a, b string) int {
@@ -32,24 +32,24 @@
 	return names
 }
 
-// Relays returns the relays of a hall, out of its nodes in order.
-func Relays(ordered []string) []string {
-	return ordered[:min(len(ordered), max(leastRelays, active(len(ordered))))]
+// Relays returns the relays of a hall, given its ranked nodes.
+func Relays(ranked []string) []string {
+	return ranked[:min(len(ranked), max(minRelays, activeCount(len(ranked))))]
 }
 
-// Active returns the relays of a hall that its nodes report to, which place their requests.
-func Active(ordered []string) []string { return ordered[:min(len(ordered), active(len(ordered)))] }
+// Active returns the relays that a hall's nodes report to, which also place the nodes' requests.
+func Active(ranked []string) []string { return ranked[:min(len(ranked), activeCount(len(ranked)))] }
 
-// active is how many relays of a hall nodes report to. The others only swap.
-func active(nodes int) int { return (nodes + nodesARelay - 1) / nodesARelay }
+// activeCount is the number of relays that nodes report to. The others only exchange groups.
+func activeCount(nodes int) int { return (nodes + nodesPerRelay - 1) / nodesPerRelay }
 
-// ReportTargets returns the relays of a node's hall in the order in which it tries to report to
-// them, out of the hall's nodes in order.
-func ReportTargets(self string, ordered []string) []string {
-	homes := slices.Clone(Relays(ordered))
-	actives := homes[:len(Active(ordered))]
-	slices.SortFunc(actives, func(a, b string) int {
+// ReportTargets returns the relays of a node's hall in the order in which the node tries to report to them,
+// given the hall's ranked nodes.
+func ReportTargets(self string, ranked []string) []string {
+	targets := slices.Clone(Relays(ranked))
+	active := targets[:len(Active(ranked))]
+	slices.SortFunc(active, func(a, b string) int {
 		return cmp.Compare(xxhash.Sum64String(self+a), xxhash.Sum64String(self+b))
 	})
-	return homes
+	return targets
 }
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	every  = 250 * time.Millisecond
-	window = 5 * time.Second
+	reportInterval = 250 * time.Millisecond
+	windowLength   = 5 * time.Second
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-// fleet is some nodes on a virtual clock that report to relays as the daemon's do.
+// fleet simulates nodes that report to relays as the daemon's do, on a virtual clock.
 type fleet struct {
-	now   time.Time
-	nodes []*node
-	named map[string]*node
-	cut   map[[2]string]bool // pairs that don't reach each other
-	lives int
-	calls map[string]int // by node that makes or answers them
+	now          time.Time
+	nodes        []*node
+	nodesByName  map[string]*node
+	partitioned  map[[2]string]bool // pairs of nodes that cannot reach each other
+	incarnations int
+	calls        map[string]int // by node, as caller or callee
 }
 
-// node is one VM. What its process counts is the truth that others are compared with.
+// node is one VM. The counts of its process are the reference for the state of all others.
 type node struct {
-	name, hall string
-	alive      bool
-	life       string
-	began      time.Time
-	sequence   uint64
-	spent      map[string]float64
-	started    usage.Windows
-	load       int // requests at the one upstream
-	placed     []pool.Placement
+	name, hall  string
+	up          bool
+	incarnation string
+	startedAt   time.Time
+	sequence    uint64
+	spent       map[string]float64
+	started     usage.Windows
+	load        int // requests at the only upstream
+	placed      []pool.Placement
 
-	book  *Aggregator
-	view  View
-	usage *usage.Book
-	words map[string]Update // of the last digest
-	share []pool.Share
+	aggregator *Aggregator
+	view       View
+	usage      *usage.Book
+	updates    map[string]Update // from the last digest
+	shares     []pool.Share
 }
 
 func newFleet(halls, nodes int) *fleet {
-	f := &fleet{now: start, cut: make(map[[2]string]bool), named: make(map[string]*node), calls: make(map[string]int)}
+	f := &fleet{now: startTime, partitioned: make(map[[2]string]bool), nodesByName: make(map[string]*node), calls: make(map[string]int)}
 	for i := 0; i < nodes; i++ {
 		n := &node{name: fmt.Sprint("edge-", i), hall: fmt.Sprint("hall-", i%halls)}
 		f.nodes = append(f.nodes, n)
-		f.named[n.name] = n
+		f.nodesByName[n.name] = n
 		f.start(n)
 	}
 	return f
@@ -61,14 +61,14 @@
 
 // start starts a process on a VM.
 func (f *fleet) start(n *node) {
-	f.lives++
-	n.alive, n.life, n.began, n.sequence = true, fmt.Sprint("life-", f.lives), f.now, 0
+	f.incarnations++
+	n.up, n.incarnation, n.startedAt, n.sequence = true, fmt.Sprint("incarnation-", f.incarnations), f.now, 0
 	n.spent, n.started, n.load, n.placed = map[string]float64{}, usage.Windows{}, 0, nil
-	n.book, n.view, n.words, n.share = NewAggregator(n.name, n.life), View{}, nil, nil
-	n.usage = usage.New(n.name, n.life, window)
+	n.aggregator, n.view, n.updates, n.shares = NewAggregator(n.name, n.incarnation), View{}, nil, nil
+	n.usage = usage.New(n.name, n.incarnation, windowLength)
 }
 
-// work lets a process charge, count and run something.
+// work lets a process charge tokens, count a request and run it.
 func (f *fleet) work(n *node, workspace string, tokens float64) {
 	n.spent[workspace] += tokens
 	k := n.usage.Window(f.now)
@@ -81,17 +81,17 @@
 	n.placed = append(n.placed, pool.Placement{Prefix: uint64(n.load), Upstream: "u"})
 }
 
-func (f *fleet) reaches(a, b *node) bool {
-	return a.alive && b.alive && !f.cut[[2]string{min(a.name, b.name), max(a.name, b.name)}]
+func (f *fleet) reachable(a, b *node) bool {
+	return a.up && b.up && !f.partitioned[[2]string{min(a.name, b.name), max(a.name, b.name)}]
 }
 
-func (f *fleet) byName(name string) *node { return f.named[name] }
+func (f *fleet) byName(name string) *node { return f.nodesByName[name] }
 
-// hallOf returns the nodes of a hall that one reaches, in order.
-func (f *fleet) hallOf(n *node, hall string) []string {
+// rankedHall returns the nodes of a hall that a node reaches, ranked.
+func (f *fleet) rankedHall(n *node, hall string) []string {
 	nodes := make(map[string]float64)
 	for _, o := range f.nodes {
-		if o.hall == hall && (o == n || f.reaches(n, o)) {
+		if o.hall == hall && (o == n || f.reachable(n, o)) {
 			nodes[o.name] = 1
 		}
 	}
@@ -105,17 +105,17 @@
 		started[k] = maps.Clone(c)
 	}
 	r := Report{
-		Node: n.name, Incarnation: n.life, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
+		Node: n.name, Incarnation: n.incarnation, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
 		Loads: []pool.Load{{Upstream: "u", Running: n.load}},
 	}
 	return r
 }
 
-// round lets every node report once, in an order that changes.
+// round lets every node report once, in order.
 func (f *fleet) round() {
-	f.now = f.now.Add(every)
+	f.now = f.now.Add(reportInterval)
 	for _, n := range f.nodes {
-		if n.alive {
+		if n.up {
 			f.step(n)
 		}
 	}
@@ -123,66 +123,66 @@
 
 func (f *fleet) step(n *node) {
 	r := n.report()
-	r.Uptime = f.now.Sub(n.began)
-	n.book.Expire(f.now)
-	ordered := f.hallOf(n, n.hall)
-	if slices.Contains(Relays(ordered), n.name) {
-		n.book.ApplyReport(f.now, r)
-		f.swapAll(n)
+	r.Uptime = f.now.Sub(n.startedAt)
+	n.aggregator.Expire(f.now)
+	ranked := f.rankedHall(n, n.hall)
+	if slices.Contains(Relays(ranked), n.name) {
+		n.aggregator.ApplyReport(f.now, r)
+		f.exchangeGroups(n)
 		_, version := n.view.KnownVersion(n.name)
-		n.take(f.now, n.name, n.book.Digest(f.now, n.name, version))
+		n.applyDigest(f.now, n.name, n.aggregator.Digest(f.now, n.name, version))
 		return
 	}
-	h := f.byName(ReportTargets(n.name, ordered)[0])
-	n.book.OwnNodeMoved(h.name)
+	h := f.byName(ReportTargets(n.name, ranked)[0])
+	n.aggregator.OwnNodeMoved(h.name)
 	f.calls[n.name]++
 	f.calls[h.name]++
-	h.usage.TakeIn(n.name, n.life, r.Started)
-	h.book.ApplyReport(f.now, r)
-	lifetime, version := n.view.KnownVersion(h.name)
-	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.BaseVersion(lifetime, version)))
+	h.usage.TakeIn(n.name, n.incarnation, r.Started)
+	h.aggregator.ApplyReport(f.now, r)
+	incarnation, version := n.view.KnownVersion(h.name)
+	n.applyDigest(f.now, h.name, h.aggregator.Digest(f.now, n.name, h.aggregator.BaseVersion(incarnation, version)))
 }
 
-func (n *node) take(now time.Time, relay string, d Digest) {
-	n.words, n.share = map[string]Update{}, d.Shares
+func (n *node) applyDigest(now time.Time, relay string, d Digest) {
+	n.updates, n.shares = map[string]Update{}, d.Shares
 	for _, w := range n.view.ApplyDigest(now, relay, d) {
-		n.words[w.Node] = w
+		n.updates[w.Node] = w
 	}
 }
 
-// swapAll swaps with the relays behind this one in name: a pair has one caller.
-func (f *fleet) swapAll(n *node) {
+// exchangeGroups exchanges groups with the relays whose names sort after this one, so that each pair has one caller.
+func (f *fleet) exchangeGroups(n *node) {
 	halls := map[string]bool{}
 	for _, o := range f.nodes {
 		halls[o.hall] = true
 	}
 	for hall := range halls {
-		for _, name := range Relays(f.hallOf(n, hall)) {
+		for _, name := range Relays(f.rankedHall(n, hall)) {
 			if o := f.byName(name); o.name > n.name {
 				f.calls[n.name]++
 				f.calls[o.name]++
-				f.tell(n, o)
-				f.tell(o, n)
+				f.sendGroup(n, o)
+				f.sendGroup(o, n)
 			}
 		}
 	}
 }
 
-func (f *fleet) tell(from, to *node) {
-	lifetime, version := to.book.KnownVersion(from.name)
-	g := from.book.Group(f.now, from.book.BaseVersion(lifetime, version))
-	to.book.MergeGroup(f.now, g)
+func (f *fleet) sendGroup(from, to *node) {
+	incarnation, version := to.aggregator.KnownVersion(from.name)
+	g := from.aggregator.Group(f.now, from.aggregator.BaseVersion(incarnation, version))
+	to.aggregator.MergeGroup(f.now, g)
 	for _, c := range g.Changes {
 		to.usage.TakeIn(c.Node, c.Incarnation, c.Started)
 	}
 }
 
-// assertNeverMore checks that nothing is known that its process hasn't said.
+// assertNeverMore checks that no node knows more than the process itself has reported.
 func (f *fleet) assertNeverMore(t assert.TestingT) {
 	for _, n := range f.nodes {
-		for name, w := range n.words {
+		for name, w := range n.updates {
 			o := f.byName(name)
-			if !n.alive || w.Incarnation != o.life {
+			if !n.up || w.Incarnation != o.incarnation {
 				continue
 			}
 			for ws, x := range w.Spent {
@@ -192,31 +192,31 @@
 	}
 }
 
-// assertWhole checks that each node knows every other one that it should, exactly.
-func (f *fleet) assertWhole(t assert.TestingT) {
+// assertComplete checks that each node has the exact state of every other node that is up.
+func (f *fleet) assertComplete(t assert.TestingT) {
 	all := 0
 	for _, n := range f.nodes {
-		if n.alive {
+		if n.up {
 			all += n.load
 		}
 	}
 	for _, n := range f.nodes {
-		if !n.alive {
+		if !n.up {
 			continue
 		}
 		for _, o := range f.nodes {
-			w, ok := n.words[o.name]
+			w, ok := n.updates[o.name]
 			if o == n {
-				assert.False(t, ok, "%s is told of itself", n.name)
+				assert.False(t, ok, "%s receives its own state", n.name)
 				continue
 			}
-			if !assert.Equal(t, o.alive, ok, "%s at %s", o.name, n.name) || !ok {
+			if !assert.Equal(t, o.up, ok, "%s at %s", o.name, n.name) || !ok {
 				continue
 			}
-			assert.Equal(t, o.life, w.Incarnation)
+			assert.Equal(t, o.incarnation, w.Incarnation)
 			assert.Equal(t, o.spent, w.Spent, "%s at %s", o.name, n.name)
 		}
-		assert.Equal(t, all-n.load, running(n.share), "what the others have, at %s", n.name)
+		assert.Equal(t, all-n.load, running(n.shares), "load of the other nodes, at %s", n.name)
 	}
 }
 
@@ -238,27 +238,27 @@
 
 func benchmarkName(nodes int) string { return fmt.Sprint(nodes, "_nodes") }
 
-// cutHall cuts a hall off from all others.
-func (f *fleet) cutHall(hall string) {
+// partitionHall separates a hall from all others.
+func (f *fleet) partitionHall(hall string) {
 	for _, a := range f.nodes {
 		for _, b := range f.nodes {
 			if a.hall == hall && b.hall != hall {
-				f.cut[[2]string{min(a.name, b.name), max(a.name, b.name)}] = true
+				f.partitioned[[2]string{min(a.name, b.name), max(a.name, b.name)}] = true
 			}
 		}
 	}
 }
 
-// assertCounts checks the counts of all processes at each relay: never more than a process
-// has counted, and, once all is quiet, all that those which live have counted.
-func (f *fleet) assertCounts(t assert.TestingT, quiet bool) {
+// assertCounts checks the counts of all processes at each relay: never more than a process has counted, and,
+// once the state has settled, exactly the counts of the running ones.
+func (f *fleet) assertCounts(t assert.TestingT, settled bool) {
 	for _, n := range f.nodes {
-		if !n.alive || !slices.Contains(Relays(f.hallOf(n, n.hall)), n.name) {
+		if !n.up || !slices.Contains(Relays(f.rankedHall(n, n.hall)), n.name) {
 			continue
 		}
-		n.usage.Others(func(name, life string, w usage.Windows) {
+		n.usage.Others(func(name, incarnation string, w usage.Windows) {
 			o := f.byName(name)
-			if o.life != life {
+			if o.incarnation != incarnation {
 				return
 			}
 			for k, c := range w {
@@ -266,30 +266,30 @@
 					assert.LessOrEqual(t, x, o.started[k][ws], "%s at %s", name, n.name)
 				}
 			}
-			if quiet && o.alive {
+			if settled && o.up {
 				assert.Equal(t, o.started, w, "%s at %s", name, n.name)
 			}
 		})
 	}
 }
 
-// member is a node that is no relay.
+// member returns a node that is not a relay.
 func (f *fleet) member() *node {
 	for _, n := range f.nodes {
-		if !slices.Contains(Relays(f.hallOf(n, n.hall)), n.name) {
+		if !slices.Contains(Relays(f.rankedHall(n, n.hall)), n.name) {
 			return n
 		}
 	}
 	return f.nodes[0]
 }
 
-// oldest is the age of the oldest report that a node goes by, of nodes that report
-// something new in each round; the next digest comes a round later.
-func (f *fleet) oldest() time.Duration {
+// oldestReport returns the age of the oldest report in use at any node, if nodes report something new in each
+// round; the next digest arrives one round later.
+func (f *fleet) oldestReport() time.Duration {
 	d := time.Duration(0)
 	for _, n := range f.nodes {
-		for name, w := range n.words {
-			d = max(d, time.Duration(f.byName(name).sequence-w.Sequence+1)*every)
+		for name, w := range n.updates {
+			d = max(d, time.Duration(f.byName(name).sequence-w.Sequence+1)*reportInterval)
 		}
 	}
 	return d
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,31 +1,30 @@
-// Package relay gathers what nodes report and hands it on, so that a node of a large fleet
-// knows what the others do without talking to each of them.
+// Package relay aggregates and distributes the reports of nodes, so that a node of a large fleet knows the
+// state of the others without calling each of them.
 //
-// A few nodes of each hall are its relays. Every node of a hall tells one of them what it
-// has, and gets a digest of all the others in the same call. Relays swap what their own
-// nodes told them. So a figure takes three steps from any node to any other, whatever the
-// size of the fleet, and the calls of a node that is no relay don't grow with it.
+// A few nodes of each hall are its relays. Every node reports to one relay of its hall and receives a digest
+// of all other nodes in the same call. Relays exchange the state of the nodes that report to them. So a value
+// takes three steps from any node to any other, whatever the size of the fleet, and the number of calls of a
+// node that is not a relay does not grow with it.
 //
-// A digest holds two kinds of things:
+// A digest has two kinds of content:
 //
-//   - What nodes have at upstreams, and what they see of a roll-out, adds up, and only the sum
-//     is handed on: one for the nodes of the relay that answers, one for all the others.
-//   - What a process has charged and counted since it began stays by process. It is exact,
-//     any number of relays may tell it in any order, and a process that is gone is counted
-//     once. Only what changed since the asker's last digest is told.
+//   - The load of nodes at upstreams and their observations of roll-outs are additive, and only sums are sent:
+//     one for the nodes of the responding relay, one for all others.
+//   - The tokens charged and requests counted by a process since its start are kept per process. They are
+//     exact, may be sent by any number of relays in any order, and a process that is gone is counted once.
+//     Only changes since the receiver's last digest are sent.
 //
-// Nothing is agreed on. A node that takes itself for a relay is one as soon as another node
-// reports to it; two that think they are one only tell the same twice. A relay that is gone
-// costs its nodes the time-out of a call. Nodes also swap reports in pairs, slowly (package
-// edge), and go by these for every node that no digest covers.
+// There is no consensus on the relays. Any node acts as a relay once another node reports to it; two that both
+// consider themselves the relay only send the same state twice. The loss of a relay costs its nodes the
+// time-out of one call. Nodes also exchange reports in pairs, at a low rate (package edge), and use these for
+// every node that no digest covers.
 //
-// Weighed: gossip with random partners. A figure reaches all 95 nodes after some seven
-// rounds instead of three steps, and each message bears what all nodes have at all
-// upstreams, by node, since sums can't be told twice. A tree over all nodes: the loss of an
-// inner node cuts off a part of the fleet until the tree is mended, and its root is a
-// control VM by another name.
+// Alternatives considered: gossip with random partners. A value reaches all 95 nodes after some seven rounds
+// instead of three steps, and each message carries the load of all nodes at all upstreams, by node, since sums
+// cannot be merged twice. A tree over all nodes: the loss of an inner node separates a part of the fleet until
+// the tree is repaired, and its root is in effect a control VM.
 //
-// The package is pure: time comes in, messages go out.
+// The package performs no input or output: callers pass the time and carry the messages.
 package relay
 
 import (
@@ -37,66 +36,65 @@
 )
 
 const (
-	// silentAfter is the silence after which a node no longer belongs to a relay: three
-	// reports that were missed, and some delay. It has gone to another relay, or is cut off.
-	silentAfter = time.Second
-	// changesLimit bounds the processes whose changes one digest tells; the rest waits for
-	// the next one. A fleet of 95 nodes, all of them busy, has as many as it has nodes.
-	changesLimit = 128
-	// placedLimit bounds the placements that are kept for nodes that ask for the first time.
-	placedLimit = 4096
-	// placedAgain is the age from which a placement is told again: those that hear of it
-	// believe it for three times as long.
-	placedAgain = 10 * time.Second
-	// recordKeeps is how long a process is remembered that isn't heard any more: until its
-	// counts have been reported.
-	recordKeeps = 30 * time.Second
+	// unresponsiveAfter is the silence after which a node no longer counts as reporting to a relay: three
+	// missed reports plus some delay. It has moved to another relay, or is partitioned.
+	unresponsiveAfter = time.Second
+	// maxChanges bounds the processes whose changes fit into one digest; the rest is sent with the next one.
+	// A fleet of 95 nodes, all of them busy, has as many changed processes as nodes.
+	maxChanges = 128
+	// maxPlacements bounds the placements kept for nodes that ask for the first time.
+	maxPlacements = 4096
+	// placementRepeatAfter is the age after which a placement is sent again: receivers use it for three
+	// times as long.
+	placementRepeatAfter = 10 * time.Second
+	// recordRetention is how long an unresponsive process is remembered: until its counts have been reported.
+	recordRetention = 30 * time.Second
 )
 
-// Report is what a node tells its relay.
+// Report is what a node sends to its relay.
 type Report struct {
 	Node         string
 	Incarnation  string
-	Sequence     uint64 // rises with each report of a lifetime
+	Sequence     uint64 // increases with each report of an incarnation
 	Uptime       time.Duration
 	Loads        []pool.Load
 	Placed       []pool.Placement
-	Spent        map[string]float64 // tokens charged since the process began, by workspace
-	Started      usage.Windows      // requests begun, of the newest windows
+	Spent        map[string]float64 // tokens charged since the process started, by workspace
+	Started      usage.Windows      // requests started, in the newest windows
 	Trials       []rollout.Word
 	Reachability pool.Reach
 }
 
-// Change is what is new of one process.
+// Change is the changed state of one process.
 type Change struct {
 	Node         string
 	Incarnation  string
-	Sequence     uint64 // of its newest report; 0: it has come to another relay, and no more is told
+	Sequence     uint64 // of its newest report; 0: the node moved to another relay, and no more is sent
 	Uptime       time.Duration
 	Age          time.Duration      // of the report
-	Relay        string             // that the node reports to
-	Unresponsive bool               // the relay doesn't hear it any more
-	Spent        map[string]float64 // of the workspaces that changed
+	Relay        string             // relay that the node reports to
+	Unresponsive bool               // the relay no longer receives its reports
+	Spent        map[string]float64 // changed workspaces only
 	Started      usage.Windows      // between relays only
 }
 
-// Digest is what a relay tells a node: all that it knows of the other nodes.
+// Digest is what a relay sends to a node: its state of the other nodes.
 type Digest struct {
 	Incarnation  string                   // of the relay's process
-	Version      uint64                   // up to which changes are told
-	Shares       []pool.Share             // of all nodes but the asker, as Shares returns them
-	Relays       map[string]time.Duration // age of what each relay has told of its nodes
+	Version      uint64                   // up to which changes are included
+	Shares       []pool.Share             // of all nodes but the receiver, as returned by Shares
+	Relays       map[string]time.Duration // age of each relay's last group
 	Changes      []Change
 	Placed       []pool.Placement
-	Trials       []rollout.Word // of all nodes but the asker
-	Reachability pool.Reach     // of the other nodes that report here
+	Trials       []rollout.Word // of all nodes but the receiver
+	Reachability pool.Reach     // of the other nodes that report to this relay
 }
 
-// Group is what a relay tells another one: its own nodes.
+// Group is what a relay sends to another: the state of the nodes that report to it.
 type Group struct {
 	Relay       string
 	Incarnation string
-	Version     uint64 // up to which changes are told
+	Version     uint64 // up to which changes are included
 	Share       pool.Share
 	Changes     []Change
 	Placed      []pool.Placement
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -9,158 +9,156 @@
 	"spurhall.example/spurhall/internal/rollout"
 )
 
-// This file is what a relay tells: its own nodes to other relays, all nodes to its own.
-
-// Group returns what is new of this relay's own nodes after a version of this book. An
-// asker that doesn't know this process gives version 0.
-func (b *Aggregator) Group(now time.Time, after uint64) Group {
-	g := Group{Relay: b.self, Incarnation: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
-	g.Changes, g.Version = b.changes(now, after, func(_ string, v *record) uint64 {
-		if v.relay != b.self {
-			return v.left
+// This file builds the messages of a relay: groups for other relays, digests for the nodes that report to it.
+
+// Group returns the state of this relay's own nodes that changed after a version. A relay that does not know
+// this incarnation passes version 0.
+func (a *Aggregator) Group(now time.Time, after uint64) Group {
+	g := Group{Relay: a.self, Incarnation: a.incarnation, Share: a.ownShare(now, ""), Trials: a.ownTrials("")}
+	g.Changes, g.Version = a.changesSince(now, after, func(_ string, v *record) uint64 {
+		if v.relay != a.self {
+			return v.leftVersion
 		}
-		return max(v.version, v.counted)
+		return max(v.version, v.countsVersion)
 	})
 	for i := range g.Changes {
 		c := &g.Changes[i]
-		if v := b.records[c.Node]; v.relay == b.self {
+		if v := a.records[c.Node]; v.relay == a.self {
 			c.Started = v.started
 		} else {
 			*c = Change{Node: c.Node, Incarnation: c.Incarnation, Unresponsive: true}
 		}
 	}
-	g.Placed = b.placements(after, g.Version, func(p placing) bool { return p.relay == b.self })
+	g.Placed = a.placements(after, g.Version, func(p loggedPlacement) bool { return p.relay == a.self })
 	return g
 }
 
-// LastSeen returns when a node was last heard.
-func (b *Aggregator) LastSeen(node string) time.Time {
-	if v := b.records[node]; v != nil {
-		return v.heard
+// LastSeen returns when a node's report was last received.
+func (a *Aggregator) LastSeen(node string) time.Time {
+	if v := a.records[node]; v != nil {
+		return v.lastSeen
 	}
 	return time.Time{}
 }
 
-// Digest returns what is new to a node after a version of this book.
-func (b *Aggregator) Digest(now time.Time, asker string, after uint64) Digest {
-	d := Digest{Incarnation: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
-	for name, g := range b.groups {
-		if age := now.Sub(g.heard); age <= recordKeeps {
+// Digest returns the state of all other nodes that changed after a version.
+func (a *Aggregator) Digest(now time.Time, receiver string, after uint64) Digest {
+	d := Digest{Incarnation: a.incarnation, Relays: map[string]time.Duration{a.self: 0}, Shares: a.Shares(now, receiver)}
+	for name, g := range a.groups {
+		if age := now.Sub(g.receivedAt); age <= recordRetention {
 			d.Relays[name] = age
 		}
 	}
-	d.Changes, d.Version = b.changes(now, after, func(name string, v *record) uint64 {
-		if name == asker {
+	d.Changes, d.Version = a.changesSince(now, after, func(name string, v *record) uint64 {
+		if name == receiver {
 			return 0
 		}
 		return v.version
 	})
-	d.Placed = b.placements(after, d.Version, func(placing) bool { return true })
-	d.Trials = b.ownTrials(asker)
-	d.Trials = rollout.Merge(d.Trials, b.otherTrials(now))
-	d.Reachability = b.reach(now, asker)
+	d.Placed = a.placements(after, d.Version, func(loggedPlacement) bool { return true })
+	d.Trials = a.ownTrials(receiver)
+	d.Trials = rollout.Merge(d.Trials, a.peerTrials(now))
+	d.Reachability = a.reachability(now, receiver)
 	return d
 }
 
-// reach is what this relay's nodes, which are of one hall, have found out but for one of them.
-func (b *Aggregator) reach(now time.Time, but string) pool.Reach {
+// reachability merges the findings of this relay's nodes, all of one hall, except one.
+func (a *Aggregator) reachability(now time.Time, except string) pool.Reach {
 	var sum pool.Reach
-	for name, v := range b.records {
-		if name != but && v.relay == b.self && !v.silent {
-			sum = sum.Plus(v.reach, now.Sub(v.heard))
+	for name, v := range a.records {
+		if name != except && v.relay == a.self && !v.unresponsive {
+			sum = sum.Plus(v.reachability, now.Sub(v.lastSeen))
 		}
 	}
 	return sum
 }
 
-// otherTrials is what the other relays' nodes have seen of roll-outs. A relay that isn't heard
-// doesn't count: its nodes tell the same through another one, or are cut off.
-func (b *Aggregator) otherTrials(now time.Time) []rollout.Word {
+// peerTrials merges what the other relays' nodes have observed of roll-outs. An unresponsive relay does not
+// count: its nodes report through another one, or are partitioned.
+func (a *Aggregator) peerTrials(now time.Time) []rollout.Word {
 	var sum []rollout.Word
-	for _, g := range b.groups {
-		if now.Sub(g.heard) <= silentAfter {
+	for _, g := range a.groups {
+		if now.Sub(g.receivedAt) <= unresponsiveAfter {
 			sum = rollout.Merge(sum, g.trials)
 		}
 	}
 	return sum
 }
 
-// ownTrials is what this relay's nodes have seen of roll-outs, but for one of them, those
-// included that aren't heard any more: what they saw stays true.
-func (b *Aggregator) ownTrials(but string) []rollout.Word {
+// ownTrials merges what this relay's nodes, except one, have observed of roll-outs, including unresponsive
+// nodes: their observations remain valid.
+func (a *Aggregator) ownTrials(except string) []rollout.Word {
 	var sum []rollout.Word
-	for name, v := range b.records {
-		if v.relay != b.self {
+	for name, v := range a.records {
+		if v.relay != a.self {
 			continue
 		}
-		sum = rollout.Merge(sum, v.ended)
-		if name != but {
+		sum = rollout.Merge(sum, v.pastTrials)
+		if name != except {
 			sum = rollout.Merge(sum, v.trials)
 		}
 	}
 	return sum
 }
 
-// Shares returns what all nodes but one have: first the nodes of this relay, then those of
-// the others.
-func (b *Aggregator) Shares(now time.Time, but string) []pool.Share {
-	return []pool.Share{b.own(now, but), b.others(now)}
+// Shares returns the load of all nodes except one: first that of this relay's nodes, then that of the others.
+func (a *Aggregator) Shares(now time.Time, except string) []pool.Share {
+	return []pool.Share{a.ownShare(now, except), a.peerShare(now)}
 }
 
-// own is what this relay's nodes have, but for one of them.
-func (b *Aggregator) own(now time.Time, but string) pool.Share {
-	var s sum
-	for name, v := range b.records {
-		if name != but && v.relay == b.self && !v.silent {
-			s.add(now.Sub(v.heard), v.loads)
+// ownShare is the load of this relay's nodes, except one.
+func (a *Aggregator) ownShare(now time.Time, except string) pool.Share {
+	var s loadSum
+	for name, v := range a.records {
+		if name != except && v.relay == a.self && !v.unresponsive {
+			s.add(now.Sub(v.lastSeen), v.loads)
 		}
 	}
 	return s.share()
 }
 
-// others is what the other relays' nodes have.
-func (b *Aggregator) others(now time.Time) pool.Share {
-	var s sum
-	for _, g := range b.groups {
-		if age := now.Sub(g.heard); age <= silentAfter {
+// peerShare is the load of the other relays' nodes.
+func (a *Aggregator) peerShare(now time.Time) pool.Share {
+	var s loadSum
+	for _, g := range a.groups {
+		if age := now.Sub(g.receivedAt); age <= unresponsiveAfter {
 			s.add(age+g.share.Age, g.share.Loads)
 		}
 	}
 	return s.share()
 }
 
-// changes returns the records that changed after a version, the oldest changes first, and
-// the version up to which they are told. newest is the version of a record's newest change,
-// 0 if it isn't told.
-func (b *Aggregator) changes(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
+// changesSince returns the records that changed after a version, oldest changes first, and the version up to
+// which they are complete. newest returns the version of a record's newest change, or 0 to leave it out.
+func (a *Aggregator) changesSince(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
 	type dated struct {
 		node  string
-		since uint64 // version of the oldest change that isn't told
+		since uint64 // version of the oldest change not sent yet
 	}
 	var list []dated
-	for name, v := range b.records {
+	for name, v := range a.records {
 		if n := newest(name, v); n > after {
-			list = append(list, dated{name, v.since(after, n)})
+			list = append(list, dated{name, v.oldestChange(after, n)})
 		}
 	}
 	slices.SortFunc(list, func(x, y dated) int { return cmp.Compare(x.since, y.since) })
-	upto := b.version
-	if len(list) > changesLimit {
-		upto = list[changesLimit].since - 1
-		list = list[:changesLimit]
+	upTo := a.version
+	if len(list) > maxChanges {
+		upTo = list[maxChanges].since - 1
+		list = list[:maxChanges]
 	}
 	changes := make([]Change, len(list))
 	for i, d := range list {
-		changes[i] = b.records[d.node].change(now, d.node, after)
+		changes[i] = a.records[d.node].changeSince(now, d.node, after)
 	}
-	return changes, upto
+	return changes, upTo
 }
 
-// since is the version of the oldest change after one; the newest is known.
-func (v *record) since(after, newest uint64) uint64 {
+// oldestChange returns the version of the oldest change after a version, given the newest one.
+func (v *record) oldestChange(after, newest uint64) uint64 {
 	oldest := newest
-	if v.whole > after {
-		oldest = min(oldest, v.whole)
+	if v.resetVersion > after {
+		oldest = min(oldest, v.resetVersion)
 	}
 	for _, c := range v.spent {
 		if c.version > after {
@@ -170,37 +168,37 @@
 	return oldest
 }
 
-func (v *record) change(now time.Time, node string, after uint64) Change {
+func (v *record) changeSince(now time.Time, node string, after uint64) Change {
 	c := Change{
-		Node: node, Incarnation: v.lifetime, Sequence: v.sequence, Uptime: v.heard.Sub(v.began), Age: now.Sub(v.heard), Relay: v.relay, Unresponsive: v.silent,
+		Node: node, Incarnation: v.incarnation, Sequence: v.sequence, Uptime: v.lastSeen.Sub(v.startedAt), Age: now.Sub(v.lastSeen), Relay: v.relay, Unresponsive: v.unresponsive,
 		Spent: make(map[string]float64),
 	}
 	for w, x := range v.spent {
-		if x.version > after || v.whole > after {
+		if x.version > after || v.resetVersion > after {
 			c.Spent[w] = x.value
 		}
 	}
 	return c
 }
 
-func (b *Aggregator) placements(after, upto uint64, counts func(placing) bool) []pool.Placement {
+func (a *Aggregator) placements(after, upTo uint64, counts func(loggedPlacement) bool) []pool.Placement {
 	var list []pool.Placement
-	for _, p := range b.placed {
-		if p.version > after && p.version <= upto && counts(p) {
+	for _, p := range a.placementLog {
+		if p.version > after && p.version <= upTo && counts(p) {
 			list = append(list, p.Placement)
 		}
 	}
 	return list
 }
 
-// sum adds up loads by upstream.
-type sum struct {
-	loads map[string]pool.Load
-	aged  time.Duration // ages, weighted by the requests running
-	runs  int
+// loadSum adds up loads by upstream.
+type loadSum struct {
+	loads       map[string]pool.Load
+	weightedAge time.Duration // sum of ages, weighted by running requests
+	running     int
 }
 
-func (s *sum) add(age time.Duration, loads []pool.Load) {
+func (s *loadSum) add(age time.Duration, loads []pool.Load) {
 	if s.loads == nil {
 		s.loads = make(map[string]pool.Load)
 	}
@@ -211,19 +209,19 @@
 		v.Queued += l.Queued
 		v.Held += l.Held
 		s.loads[l.Upstream] = v
-		s.aged += age * time.Duration(l.Running)
-		s.runs += l.Running
+		s.weightedAge += age * time.Duration(l.Running)
+		s.running += l.Running
 	}
 }
 
-func (s *sum) share() pool.Share {
+func (s *loadSum) share() pool.Share {
 	v := pool.Share{Loads: make([]pool.Load, 0, len(s.loads))}
 	for _, l := range s.loads {
 		v.Loads = append(v.Loads, l)
 	}
 	slices.SortFunc(v.Loads, func(a, b pool.Load) int { return cmp.Compare(a.Upstream, b.Upstream) })
-	if s.runs > 0 {
-		v.Age = s.aged / time.Duration(s.runs)
+	if s.running > 0 {
+		v.Age = s.weightedAge / time.Duration(s.running)
 	}
 	return v
 }
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -5,72 +5,71 @@
 	"time"
 )
 
-// This file is the other side of a digest: what a node knows of the others by its relay.
+// This file is the receiving side of a digest: a node's state of the others, as received from its relay.
 
-// Update is what a node knows of another one's process.
+// Update is what a node knows of another node's process.
 type Update struct {
 	Node        string
 	Incarnation string
 	Sequence    uint64
-	Uptime      time.Duration // now
-	Age         time.Duration // since the node was heard by its relay
+	Uptime      time.Duration // at the time of the digest
+	Age         time.Duration // since the relay received the node's report
 	Spent       map[string]float64
 }
 
-// View is what a node was told by its relay. It isn't safe for concurrent use.
+// View is the state that a node has received from its relay. It is not safe for concurrent use.
 type View struct {
-	relay    string
-	lifetime string // of the relay
-	version  uint64
-	nodes    map[string]*told
+	relay       string
+	incarnation string // of the relay
+	version     uint64
+	nodes       map[string]*nodeView
 }
 
-type told struct {
+type nodeView struct {
 	Update
-	relay  string
-	silent bool      // its relay doesn't hear it
-	began  time.Time // of the process
+	relay        string
+	unresponsive bool      // its relay no longer receives its reports
+	startedAt    time.Time // of the process
 }
 
-// KnownVersion returns the relay's process and the version up to which its changes are known, for
-// the next question to that relay.
-func (v *View) KnownVersion(relay string) (lifetime string, version uint64) {
+// KnownVersion returns the relay's incarnation and the version up to which its changes are known, for the
+// next request to that relay.
+func (v *View) KnownVersion(relay string) (incarnation string, version uint64) {
 	if relay != v.relay {
 		return "", 0
 	}
-	return v.lifetime, v.version
+	return v.incarnation, v.version
 }
 
-// ApplyDigest takes in a relay's digest, and returns what is known by it of each node that some
-// relay hears.
+// ApplyDigest applies a relay's digest, and returns the state of each node that reports to some relay.
 func (v *View) ApplyDigest(now time.Time, relay string, d Digest) []Update {
-	if relay != v.relay || d.Incarnation != v.lifetime {
-		*v = View{relay: relay, lifetime: d.Incarnation, nodes: make(map[string]*told)}
+	if relay != v.relay || d.Incarnation != v.incarnation {
+		*v = View{relay: relay, incarnation: d.Incarnation, nodes: make(map[string]*nodeView)}
 	}
 	v.version = d.Version
 	for _, c := range d.Changes {
-		v.change(now, c)
+		v.applyChange(now, c)
 	}
 	var list []Update
 	for _, t := range v.nodes {
-		age, heard := d.Relays[t.relay]
-		if t.silent || !heard || age > silentAfter {
+		age, listed := d.Relays[t.relay]
+		if t.unresponsive || !listed || age > unresponsiveAfter {
 			continue
 		}
 		t.Age = age
-		t.Uptime = now.Sub(t.began)
+		t.Uptime = now.Sub(t.startedAt)
 		list = append(list, t.Update)
 	}
 	return list
 }
 
-// change keeps a silent node, too: once it is heard again, only what changed is told.
-func (v *View) change(now time.Time, c Change) {
+// applyChange keeps unresponsive nodes too: if one reports again, only its changes are sent.
+func (v *View) applyChange(now time.Time, c Change) {
 	old := v.nodes[c.Node]
-	t := &told{Update: Update{Node: c.Node, Incarnation: c.Incarnation, Sequence: c.Sequence}, relay: c.Relay, silent: c.Unresponsive, began: now.Add(-c.Uptime - c.Age)}
+	t := &nodeView{Update: Update{Node: c.Node, Incarnation: c.Incarnation, Sequence: c.Sequence}, relay: c.Relay, unresponsive: c.Unresponsive, startedAt: now.Add(-c.Uptime - c.Age)}
 	t.Spent = c.Spent
 	if old != nil && old.Incarnation == c.Incarnation {
-		t.Spent = maps.Clone(old.Spent) // whoever was given it keeps it
+		t.Spent = maps.Clone(old.Spent) // the old map has been returned to callers
 		maps.Copy(t.Spent, c.Spent)
 	}
 	v.nodes[c.Node] = t
