--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -30,7 +30,7 @@
 	return m
 }
 
-func (p *pool) untrack(id string, m *activeStream) (next string, moved bool) {
+func (p *pool) untrack(id string, m *activeStream) (successor string, moved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.streams[id] == m {
