--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -11,7 +11,7 @@
 // attempts records the upstreams that a request was sent to, and whether it reached them.
 type attempts struct {
 	reachedBy map[string]bool
-	search    retry.Tries
+	search    retry.SearchLimit
 }
 
 func newAttempts() *attempts { return &attempts{reachedBy: make(map[string]bool)} }
@@ -22,9 +22,9 @@
 	missed, known := errors.Is(err, upstream.ErrNotSent), t.has(id)
 	t.reachedBy[id] = !missed
 	if missed && !known {
-		t.search.Missed(after)
+		t.search.RecordUnreachable(after)
 	} else {
-		t.search.Turned()
+		t.search.RecordReached()
 	}
 }
 
@@ -48,12 +48,12 @@
 // mayRetry decides whether another upstream may be tried, for a request with the given time left. Attempts
 // that reached no upstream are not charged to the retry budget, which keeps retries from multiplying the load.
 func (p *pool) mayRetry(t *attempts, a retry.Attempt) bool {
-	if t.search.Next() == retry.SearchOver {
+	if t.search.Next() == retry.ScopeNone {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a.Sent, a.Most, a.Least = t.search.Reached(), maxAttempts, minTimeLeft
+	a.Sent, a.MaxSent, a.MinTimeLeft = t.search.Reached(), maxAttempts, minTimeLeft
 	v, _ := retry.Decide(a, func() bool { return !t.reachedAny() || p.budget.Take(p.d.now()) })
 	return v == retry.VerdictRetry
 }
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -15,7 +15,7 @@
 func countAttempts(err error, id func(i int) string) int {
 	t := newAttempts()
 	for i := range 500 {
-		if t.search.Next() == retry.SearchOver || t.search.Reached() >= maxAttempts {
+		if t.search.Next() == retry.ScopeNone || t.search.Reached() >= maxAttempts {
 			return i
 		}
 		t.record(id(i), err, 100*time.Microsecond)
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -110,7 +110,7 @@
 		if d.crashedElsewhere(c.identity, tried) {
 			return err
 		}
-		a := retry.Attempt{Repeatable: true, MayHaveRun: !errors.Is(err, upstream.ErrRefused), Left: c.Deadline.Sub(d.o.Clock.Now())}
+		a := retry.Attempt{Repeatable: true, MayHaveRun: !errors.Is(err, upstream.ErrRefused), TimeLeft: c.Deadline.Sub(d.o.Clock.Now())}
 		if ctx.Err() != nil || errors.Is(err, errNoUpstream) || !p.mayRetry(tried, a) {
 			return err
 		}
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -19,14 +19,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.admission.Unserved(id)
-	list := make([]retry.Lifetime, len(p.list))
+	list := make([]retry.Incarnation, len(p.list))
 	for i := range p.list {
-		list[i] = retry.Lifetime{ID: p.list[i].ID}
+		list[i] = retry.Incarnation{ID: p.list[i].ID}
 	}
 	now, after := p.d.o.Clock.Now(), defaultRetryAfter
-	if cooldown := p.cooldowns.Soonest(now, list); cooldown > 0 {
+	if cooldown := p.cooldowns.ShortestWait(now, list); cooldown > 0 {
 		slots, perSecond := p.admission.Room()
-		after = p.turns.Take(now, cooldown, slots, perSecond)
+		after = p.turns.Next(now, cooldown, slots, perSecond)
 	}
 	return &Rejection{cause: errNoUpstream.Error(), after: after, noUpstream: true}
 }
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -175,7 +175,7 @@
 		}
 		again := p.mayRetry(tried, retry.Attempt{
 			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
-			Left: c.Deadline.Sub(p.d.o.Clock.Now()),
+			TimeLeft: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
 			return finalResponse(l.giveUp(), err)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -96,8 +96,8 @@
 	list         []member.Seen
 	candidates   []route.Candidate
 	streams      map[string]*activeStream // by request id
-	cooldowns    *retry.Rests             // requested by upstreams from this node
-	turns        retry.Turns              // of callers rejected while all upstreams are in cooldown
+	cooldowns    *retry.Cooldowns         // requested by upstreams from this node
+	turns        retry.ReturnSchedule     // of callers rejected while all upstreams are in cooldown
 	totals       totals
 	perToken     float64 // seconds, smoothed over all upstreams
 }
@@ -146,7 +146,7 @@
 			inFlight:  make(map[string]*inFlight),
 			waiting:   make(map[string]chan bool),
 			streams:   make(map[string]*activeStream),
-			cooldowns: retry.NewRests(),
+			cooldowns: retry.NewCooldowns(),
 		}
 		d.pools[name] = p
 	}
@@ -284,10 +284,10 @@
 	p.refreshLocked()
 	now := p.d.now()
 	at := p.d.o.Clock.Now()
-	fresh := tried.search.Next() == retry.SearchFresh
+	fresh := tried.search.Next() == retry.ScopeReachable
 	for i := range p.candidates {
 		c, f := &p.candidates[i], &p.list[i]
-		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.cooldowns.Left(at, retry.Lifetime{ID: c.ID}) > 0
+		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.cooldowns.Wait(at, retry.Incarnation{ID: c.ID}) > 0
 		c.LoadAge = at.Sub(f.At)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
 		if v := p.inFlight[c.ID]; v != nil {
@@ -378,11 +378,11 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.cooldowns.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
+	if d := upstream.RestAsked(err); d > 0 && p.cooldowns.Start(p.d.o.Clock.Now(), retry.Incarnation{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
-		p.outliers.Unclear(p.d.now(), id)
+		p.outliers.Inconclusive(p.d.now(), id)
 		return
 	}
 	if p.outliers.Failure(p.d.now(), id, len(p.list)) {
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -193,22 +193,22 @@
 		n.settle(d.Shares)
 	}
 	n.mu.Unlock()
-	n.pools.TakeShares(d.Shares, covered, d.Placed)
+	n.pools.ApplyPeerLoads(d.Shares, covered, d.Placed)
 	n.takeReach(d.Reachability)
 }
 
 // takeReach takes in what the other nodes of the hall couldn't reach.
-func (n *Node) takeReach(r pool.Reach) {
-	for _, h := range n.pools.TakeReach(r) {
-		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreached)), zap.Duration("answered", r.Answered[h]))
+func (n *Node) takeReach(r pool.Reachability) {
+	for _, h := range n.pools.ApplyReachability(r) {
+		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreachable)), zap.Duration("answered", r.LastResponse[h]))
 	}
 }
 
 // settle notes that this node places the requests of the nodes of its own share, and drops
 // those that the share tells of by now. The node's lock is held.
-func (n *Node) settle(shares []pool.Share) {
-	shares[0].Whole = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(reportTakes)) })
+func (n *Node) settle(shares []pool.PeerLoad) {
+	shares[0].Complete = true
+	n.pools.DropReported(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(reportTakes)) })
 }
 
 // swapAll swaps with the other relays whose turn it is.
@@ -283,7 +283,7 @@
 	if n.home == n.s.Node {
 		shares := n.book.Shares(now, n.s.Node)
 		n.settle(shares)
-		n.pools.TakeShares(shares, n.covered, nil)
+		n.pools.ApplyPeerLoads(shares, n.covered, nil)
 	}
 	if p := n.peers.peers[g.Relay]; p != nil {
 		p.relaying.swapped, p.relaying.lifetime, p.relaying.version = now, w.KnownLifetime, w.KnownVersion
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -66,8 +66,8 @@
 func (s *Server) attemptAll(ctx context.Context, q *request) (*response, error) {
 	tried := make(map[string]bool)
 	var last error
-	q.search = retry.Tries{}
-	for attempts := 0; q.search.Next() != retry.SearchOver; attempts++ {
+	q.search = retry.SearchLimit{}
+	for attempts := 0; q.search.Next() != retry.ScopeNone; attempts++ {
 		if err := s.checkRetry(ctx, q, attempts, last); err != nil {
 			return nil, err
 		}
@@ -92,7 +92,7 @@
 // an engine goes where Options.Place says.
 func (s *Server) pick(ctx context.Context, q *request, tried map[string]bool) *pool.Use {
 	n := s.need(q, tried)
-	n.Fresh = q.search.Next() == retry.SearchFresh
+	n.ReachableOnly = q.search.Next() == retry.ScopeReachable
 	if len(tried) == 0 {
 		if u := s.pickTrial(q, n); u != nil {
 			return u
@@ -126,7 +126,7 @@
 	case v == retry.VerdictRetry:
 		count("retries", 1)
 		return nil
-	case why == retry.ReasonTime:
+	case why == retry.ReasonDeadline:
 		return s.giveUp(q, errTimeout, last)
 	case why == retry.ReasonBudget:
 		s.o.Log.Info("retry_denied", zap.String("request", q.meta.ID), zap.String("service", q.service), zap.String("cause", "the retry budget is spent"))
@@ -137,7 +137,7 @@
 // decideRetry decides whether a request may be sent again. Requests that have reached no upstream so far
 // are not charged to the retry budget.
 func (s *Server) decideRetry(q *request) (retry.Verdict, retry.Reason) {
-	a := retry.Attempt{Repeatable: q.route.Repeatable(), MayHaveRun: q.mayHaveRun, Sent: q.sends, Most: q.route.MaxAttempts(), Left: q.deadline.Sub(s.o.Clock.Now())}
+	a := retry.Attempt{Repeatable: q.route.Repeatable(), MayHaveRun: q.mayHaveRun, Sent: q.sends, MaxSent: q.route.MaxAttempts(), TimeLeft: q.deadline.Sub(s.o.Clock.Now())}
 	return retry.Decide(a, func() bool { return q.arrivals == 0 || s.o.AllowRetry(q.service) })
 }
 
@@ -148,7 +148,7 @@
 		reason += "; before that: " + fault.Reason(last)
 	}
 	if !q.mayHaveRun {
-		cooldown := s.o.Pools.ComeBack(q.service)
+		cooldown := s.o.Pools.RetryAfter(q.service)
 		if cooldown > 0 {
 			reason += "; all upstreams rest or have had what they take"
 		}
@@ -160,8 +160,8 @@
 	return &rejection{status: http.StatusBadGateway, reason: reason}
 }
 
-func (s *Server) need(q *request, tried map[string]bool) pool.Need {
-	n := pool.Need{ID: q.meta.ID, Service: q.service, Excluded: tried, Parts: q.meta.Parts, Prompt: float64(q.meta.Prompt), Output: float64(q.meta.Output)}
+func (s *Server) need(q *request, tried map[string]bool) pool.Request {
+	n := pool.Request{ID: q.meta.ID, Service: q.service, Excluded: tried, Parts: q.meta.Parts, Prompt: float64(q.meta.Prompt), Output: float64(q.meta.Output)}
 	if v := q.catalog.Service(q.service); v != nil {
 		n.Engine = v.Engine != nil
 	}
@@ -186,9 +186,9 @@
 		return a, nil
 	}
 	if errors.Is(err, errNotRun) && a.head == nil {
-		q.search.Missed(s.o.Clock.Since(a.sentAt))
+		q.search.RecordUnreachable(s.o.Clock.Since(a.sentAt))
 	} else {
-		q.search.Turned()
+		q.search.RecordReached()
 	}
 	severed := a.severed(ctx, err)
 	if c := context.Cause(a.ctx); c != nil && ctx.Err() == nil {
@@ -224,11 +224,11 @@
 func (s *Server) resultOf(ctx context.Context, a *attempt, err error) pool.Result {
 	switch {
 	case a.addressReused:
-		return pool.ResultGone
+		return pool.ResultMisplaced
 	case ctx.Err() != nil, a.quarantined():
-		return pool.ResultUnclear
+		return pool.ResultInconclusive
 	case errors.Is(err, errNotRun) && a.head != nil:
-		return pool.ResultRefused
+		return pool.ResultRejected
 	case errors.Is(err, errNotRun):
 		return pool.ResultUnreachable
 	}
@@ -251,10 +251,10 @@
 	}
 	d := time.Duration(attemptWaitShare * float64(left))
 	if t := q.route.Target(); t > 0 {
-		d = min(d, max(attemptWaitTargets*t, a.use.Patience()))
+		d = min(d, max(attemptWaitTargets*t, a.use.WaitLimit()))
 	}
 	return s.o.Clock.AfterFunc(d, func() {
-		a.use.GivenUp(d)
+		a.use.TimedOut(d)
 		a.cancel(errUnresponsive)
 	})
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -72,7 +72,7 @@
 	// Catalog returns the configuration in force, or nil before there is one.
 	Catalog func() *catalog.Catalog
 	// Place returns the upstream chosen for a request, or an empty string if this node is to choose one.
-	Place func(ctx context.Context, n pool.Need) string
+	Place func(ctx context.Context, n pool.Request) string
 	// Charge takes tokens from a workspace's quota; Refund returns them.
 	Charge func(workspace string, tokens float64) quota.Verdict
 	Refund func(workspace string, tokens float64)
@@ -142,20 +142,20 @@
 	service         string
 	tokens          float64
 	arrived         time.Time
-	deadline        time.Time     // deadline for the response
-	waitedBefore    time.Duration // between the caller's first attempt and this request
-	search          retry.Tries   // state of the current search for an upstream
-	sends           int           // attempts of which a byte was sent, except those received by another upstream at a reused address
-	arrivals        int           // attempts of which a byte was sent
-	mayHaveRun      bool          // an attempt may have run the request
-	severedBy       []string      // upstreams that broke the connection under the request
-	started         bool          // the first event or the head has arrived
-	counted         bool          // included in the usage of its workspace
-	firstResponse   time.Duration // from arrival to the first event or the head; 0 if none came
-	longestPause    time.Duration // longest pause between two forwarded events
-	use             *pool.Use     // last attempt's upstream
-	observed        call.Answer   // last response of that upstream
-	upstreamFailure *response     // an upstream's own error response, passed on if no later attempt succeeds
+	deadline        time.Time         // deadline for the response
+	waitedBefore    time.Duration     // between the caller's first attempt and this request
+	search          retry.SearchLimit // state of the current search for an upstream
+	sends           int               // attempts of which a byte was sent, except those received by another upstream at a reused address
+	arrivals        int               // attempts of which a byte was sent
+	mayHaveRun      bool              // an attempt may have run the request
+	severedBy       []string          // upstreams that broke the connection under the request
+	started         bool              // the first event or the head has arrived
+	counted         bool              // included in the usage of its workspace
+	firstResponse   time.Duration     // from arrival to the first event or the head; 0 if none came
+	longestPause    time.Duration     // longest pause between two forwarded events
+	use             *pool.Use         // last attempt's upstream
+	observed        call.Answer       // last response of that upstream
+	upstreamFailure *response         // an upstream's own error response, passed on if no later attempt succeeds
 	fingerprint     *quarantine.Print
 }
 
@@ -420,6 +420,6 @@
 	c := u.Choice()
 	return []zap.Field{
 		zap.String("upstream", u.Entry().ID), zap.String("hall", u.Entry().Hall), zap.Int("candidates", c.Candidates), zap.Int("limited", c.Limited), zap.Bool("by_relay", c.ByRelay), zap.Int("running", c.Running),
-		zap.Int("queued_tokens", int(c.Queued)), zap.Int("cached_tokens", int(c.Cached)), zap.Int("fetched_tokens", int(c.Fetched)), zap.Float64("slowness", math.Round(10*c.Slowness)/10), zap.Int64("list_revision", c.Revision), zap.Duration("oldest_report", c.Oldest),
+		zap.Int("queued_tokens", int(c.Queued)), zap.Int("cached_tokens", int(c.Cached)), zap.Int("fetched_tokens", int(c.Fetched)), zap.Float64("slowness", math.Round(10*c.Slowness)/10), zap.Int64("list_revision", c.Revision), zap.Duration("oldest_report", c.OldestReport),
 	}
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -28,7 +28,7 @@
 }
 
 // close ends the current attempt. It is also called after a stream has completed.
-func (t *stream) close() { t.a.finish(pool.ResultUnclear) }
+func (t *stream) close() { t.a.finish(pool.ResultInconclusive) }
 
 // errCallerLeft means that the caller no longer reads the response.
 var errCallerLeft = errs.NewType("write").New("the caller left")
@@ -136,8 +136,8 @@
 // resume continues the stream at another upstream, after the last event forwarded.
 func (t *stream) resume(cause error) (event, error) {
 	tried := map[string]bool{t.a.use.Entry().ID: true}
-	t.q.search = retry.Tries{}
-	for t.q.search.Next() != retry.SearchOver {
+	t.q.search = retry.SearchLimit{}
+	for t.q.search.Next() != retry.ScopeNone {
 		if !t.resumable() {
 			return event{}, cause
 		}
@@ -148,7 +148,7 @@
 			return event{}, cause
 		}
 		n := t.s.need(t.q, tried)
-		n.Fresh = t.q.search.Next() == retry.SearchFresh
+		n.ReachableOnly = t.q.search.Next() == retry.ScopeReachable
 		use := t.s.o.Pools.Pick(n)
 		if use == nil {
 			return event{}, cause
@@ -157,7 +157,7 @@
 		a, err := t.s.runAttempt(t.ctx, t.q, use, t.lastEventID)
 		if t.ctx.Err() != nil {
 			if a != nil {
-				a.finish(pool.ResultUnclear)
+				a.finish(pool.ResultInconclusive)
 			}
 			return event{}, t.ctx.Err()
 		}
@@ -167,7 +167,7 @@
 		}
 		if a.events == nil {
 			a.finish(pool.ResultFailed)
-			t.q.search.Turned()
+			t.q.search.RecordReached()
 			cause = fault.Because(errIncompleteResponse, "the resumed stream was answered %d", a.head.StatusCode)
 			continue
 		}
--- a/internal/forward/trial.go
+++ b/internal/forward/trial.go
@@ -18,7 +18,7 @@
 // version in service, so a bad version costs most callers a second.
 
 // pickTrial chooses an upstream of a version on trial, if the request is selected for it.
-func (s *Server) pickTrial(q *request, n pool.Need) *pool.Use {
+func (s *Server) pickTrial(q *request, n pool.Request) *pool.Use {
 	if !s.o.Trials.Offer(q.service, q.route.Name()) {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	use := t.s.o.Pools.Pick(t.s.need(t.q, map[string]bool{t.a.use.Entry().ID: true}))
 	if use == nil || use.Rank() < 0 {
 		if use != nil {
-			use.End(pool.ResultUnclear)
+			use.End(pool.ResultInconclusive)
 		}
 		t.pinned = true // no upstream can take the stream over: it stays until it or its upstream ends
 		return event{}, false
@@ -83,7 +83,7 @@
 	t.s.o.Log.Info("stream_moved", zap.String("request", t.q.meta.ID), zap.String("upstream", t.a.use.Entry().ID),
 		zap.String("to", use.Entry().ID), zap.String("last_event", t.lastEventID))
 	t.a.cancel(errMoved)
-	t.a.finish(pool.ResultUnclear)
+	t.a.finish(pool.ResultInconclusive)
 	a, err := t.s.runAttempt(t.ctx, t.q, use, t.lastEventID)
 	if err == nil && a.events != nil {
 		t.a = a
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -26,7 +26,7 @@
 func assertLoads(t *testing.T, list []pool.Load) {
 	t.Helper()
 	for _, l := range list {
-		assert.True(t, l.Running >= 0 && l.Queued >= 0 && l.Held >= 0, "%+v", l)
+		assert.True(t, l.Running >= 0 && l.Queued >= 0 && l.Reserved >= 0, "%+v", l)
 	}
 }
 
@@ -66,8 +66,8 @@
 			assertTrials(t, v.Trials)
 			var view relay.View
 			view.ApplyDigest(now, "r", v)
-			p.TakeShares(v.Shares, map[string]bool{"n": true}, v.Placed)
-			p.TakeReach(v.Reachability)
+			p.ApplyPeerLoads(v.Shares, map[string]bool{"n": true}, v.Placed)
+			p.ApplyReachability(v.Reachability)
 		}
 		var r wire.NodeReport
 		if proto.Unmarshal(b, &r) == nil {
@@ -75,8 +75,8 @@
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
 			book.ApplyReport(now, v)
-			p.TakeIn("n", v.Loads, v.Placed, nil)
-			p.TakeReach(v.Reachability)
+			p.ApplyReport("n", v.Loads, v.Placed, nil)
+			p.ApplyReachability(v.Reachability)
 		}
 		var i wire.ListItem
 		if proto.Unmarshal(b, &i) == nil {
@@ -86,9 +86,9 @@
 		}
 		book.Expire(now)
 		book.Digest(now, "n", 0)
-		if u := p.Pick(pool.Need{ID: "x", Service: "s"}); u != nil {
+		if u := p.Pick(pool.Request{ID: "x", Service: "s"}); u != nil {
 			u.End(pool.ResultGood)
 		}
-		p.ComeBack("s")
+		p.RetryAfter("s")
 	})
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -30,7 +30,7 @@
 func LoadsToWire(l []pool.Load) []*wire.Load {
 	r := make([]*wire.Load, len(l))
 	for i, v := range l {
-		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Held)}
+		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Reserved)}
 	}
 	return r
 }
@@ -40,7 +40,7 @@
 	r := make([]pool.Load, len(l))
 	for i, v := range l {
 		r[i] = pool.Load{
-			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Held: float64(max(0, v.HeldTokens)),
+			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Reserved: float64(max(0, v.HeldTokens)),
 		}
 	}
 	return r
@@ -115,25 +115,25 @@
 }
 
 // ReachToWire returns the message of what can't be reached, and of the halls that answered.
-func ReachToWire(r pool.Reach) *wire.Reach {
+func ReachToWire(r pool.Reachability) *wire.Reach {
 	m := &wire.Reach{}
-	for _, v := range r.Unreached {
-		m.Unreached = append(m.Unreached, &wire.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int32(v.Nodes), AgeMs: v.Age.Milliseconds(), Gone: v.Gone})
+	for _, v := range r.Unreachable {
+		m.Unreached = append(m.Unreached, &wire.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int32(v.Nodes), AgeMs: v.Age.Milliseconds(), Gone: v.Misplaced})
 	}
-	for h, age := range r.Answered {
+	for h, age := range r.LastResponse {
 		m.Answered = append(m.Answered, &wire.HallAnswered{Hall: h, AgeMs: age.Milliseconds()})
 	}
 	return m
 }
 
 // ReachFromWire is the inverse of ReachToWire.
-func ReachFromWire(m *wire.Reach) pool.Reach {
-	r := pool.Reach{Answered: make(map[string]time.Duration)}
+func ReachFromWire(m *wire.Reach) pool.Reachability {
+	r := pool.Reachability{LastResponse: make(map[string]time.Duration)}
 	for _, v := range m.GetUnreached() {
-		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: Millis(v.AgeMs), Gone: v.Gone})
+		r.Unreachable = append(r.Unreachable, pool.UnreachableUpstream{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: Millis(v.AgeMs), Misplaced: v.Gone})
 	}
 	for _, v := range m.GetAnswered() {
-		r.Answered[v.Hall] = Millis(v.AgeMs)
+		r.LastResponse[v.Hall] = Millis(v.AgeMs)
 	}
 	return r
 }
@@ -178,13 +178,13 @@
 
 // ShareToWire returns the message of what some nodes together have at upstreams. Whether all that
 // they have sent is known is the reader's to say.
-func ShareToWire(s pool.Share) *wire.Share {
+func ShareToWire(s pool.PeerLoad) *wire.Share {
 	return &wire.Share{AgeMs: s.Age.Milliseconds(), Loads: LoadsToWire(s.Loads)}
 }
 
 // ShareFromWire is the inverse of ShareToWire.
-func ShareFromWire(s *wire.Share) pool.Share {
-	return pool.Share{Age: Millis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
+func ShareFromWire(s *wire.Share) pool.PeerLoad {
+	return pool.PeerLoad{Age: Millis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
 }
 
 // ChangesToWire returns the message of what a relay tells of its nodes.
@@ -259,7 +259,7 @@
 	e := v.Entry
 	return &wire.ListItem{
 		Id: e.ID, Service: e.Service, Address: e.Address, Hall: e.Hall, Slots: int32(e.Slots), Leaving: e.Leaving,
-		WarmUpMs: e.WarmUp.Milliseconds(), Reclaimable: e.Reclaimable, LeavesInMs: e.LeavesIn.Milliseconds(), Revision: v.Revision, Version: e.Version, Born: e.Born, Declared: e.Declared, Begun: e.Begun,
+		WarmUpMs: e.WarmUp.Milliseconds(), Reclaimable: e.Reclaimable, LeavesInMs: e.LeavesIn.Milliseconds(), Revision: v.Revision, Version: e.Version, Born: e.Born, Declared: e.Declared, Begun: e.StartRevision,
 	}
 }
 
@@ -276,7 +276,7 @@
 func ItemFromWire(v *wire.ListItem) pool.Item {
 	return pool.Item{Revision: v.Revision, Entry: pool.Entry{
 		ID: v.Id, Born: v.Born, Service: v.Service, Address: v.Address, Hall: v.Hall, Version: v.Version, Slots: int(max(0, v.Slots)), Leaving: v.Leaving,
-		WarmUp: Millis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: Millis(v.LeavesInMs), Declared: v.Declared, Begun: v.Begun,
+		WarmUp: Millis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: Millis(v.LeavesInMs), Declared: v.Declared, StartRevision: v.Begun,
 	}}
 }
 
@@ -293,7 +293,7 @@
 func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
 	words := make([]limit.Word, len(list))
 	for i, v := range list {
-		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
+		words[i] = limit.Word{Of: retry.Incarnation{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
 	}
 	return words
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -21,21 +21,21 @@
 	loads = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Load {
 		return pool.Load{
 			Upstream: names.Draw(t, "upstream"), Running: rapid.IntRange(0, 1000).Draw(t, "running"),
-			Queued: float64(rapid.IntRange(0, 1e6).Draw(t, "queued")), Held: float64(rapid.IntRange(0, 1e6).Draw(t, "held")),
+			Queued: float64(rapid.IntRange(0, 1e6).Draw(t, "queued")), Reserved: float64(rapid.IntRange(0, 1e6).Draw(t, "held")),
 		}
 	}), 0, 3)
 	placed = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Placement {
 		return pool.Placement{Prefix: rapid.Uint64().Draw(t, "prefix"), Upstream: names.Draw(t, "upstream")}
 	}), 0, 3)
-	shares = rapid.Custom(func(t *rapid.T) pool.Share {
-		return pool.Share{Age: ages.Draw(t, "age"), Loads: loads.Draw(t, "loads")}
+	shares = rapid.Custom(func(t *rapid.T) pool.PeerLoad {
+		return pool.PeerLoad{Age: ages.Draw(t, "age"), Loads: loads.Draw(t, "loads")}
 	})
-	reaches = rapid.Custom(func(t *rapid.T) pool.Reach {
-		r := pool.Reach{Answered: rapid.MapOfN(names, ages, 0, 3).Draw(t, "answered")}
+	reaches = rapid.Custom(func(t *rapid.T) pool.Reachability {
+		r := pool.Reachability{LastResponse: rapid.MapOfN(names, ages, 0, 3).Draw(t, "answered")}
 		for range rapid.IntRange(0, 2).Draw(t, "unreached") {
-			r.Unreached = append(r.Unreached, pool.Unreached{
+			r.Unreachable = append(r.Unreachable, pool.UnreachableUpstream{
 				Upstream: names.Draw(t, "upstream"), Born: rapid.Int64().Draw(t, "born"), Nodes: rapid.IntRange(0, 400).Draw(t, "nodes"),
-				Age: ages.Draw(t, "age"), Gone: rapid.Bool().Draw(t, "gone"),
+				Age: ages.Draw(t, "age"), Misplaced: rapid.Bool().Draw(t, "gone"),
 			})
 		}
 		return r
@@ -110,7 +110,7 @@
 				ID: names.Draw(t, "id"), Born: rapid.Int64().Draw(t, "born"), Service: names.Draw(t, "service"), Address: names.Draw(t, "address"),
 				Hall: names.Draw(t, "hall"), Version: names.Draw(t, "version"), Slots: rapid.IntRange(0, 1000).Draw(t, "slots"), Leaving: rapid.Bool().Draw(t, "leaving"),
 				WarmUp: ages.Draw(t, "warm"), Reclaimable: rapid.Bool().Draw(t, "reclaimable"), LeavesIn: ages.Draw(t, "leaves"),
-				Declared: rapid.Bool().Draw(t, "declared"), Begun: rapid.Int64().Draw(t, "begun"),
+				Declared: rapid.Bool().Draw(t, "declared"), StartRevision: rapid.Int64().Draw(t, "begun"),
 			}}
 			var m wire.ListItem
 			send(t, ItemToWire(v), &m)
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -173,7 +173,7 @@
 	add(1<<63|p.random.Uint64()>>1, math.Ceil(c.Own*math.Exp(c.Sigma*p.random.NormFloat64())))
 	q.output = math.Max(1, math.Ceil(c.Output*math.Exp(0.5*p.random.NormFloat64())))
 	n := p.nodes[p.random.IntN(len(p.nodes))]
-	u := p.pick(n, pool.Need{ID: fmt.Sprint(p.number), Service: service, Prompt: q.prompt, Output: q.output, Parts: parts, Engine: true})
+	u := p.pick(n, pool.Request{ID: fmt.Sprint(p.number), Service: service, Prompt: q.prompt, Output: q.output, Parts: parts, Engine: true})
 	measured := p.now >= p.l.Warm
 	if measured {
 		p.asked[class]++
--- a/internal/model/spread.go
+++ b/internal/model/spread.go
@@ -36,8 +36,8 @@
 	la, pa := a.pools.Report()
 	lb, pb := b.pools.Report()
 	p.after(hop, func() {
-		a.pools.TakeIn(b.name, lb, pb, nil)
-		b.pools.TakeIn(a.name, la, pa, nil)
+		a.pools.ApplyReport(b.name, lb, pb, nil)
+		b.pools.ApplyReport(a.name, la, pa, nil)
 	})
 }
 
@@ -79,7 +79,7 @@
 }
 
 // pick chooses an engine for a request of a node.
-func (p *play) pick(n *node, need pool.Need) *pool.Use {
+func (p *play) pick(n *node, need pool.Request) *pool.Use {
 	if p.l.Spread == SpreadPlaced {
 		if h := p.named(relay.ReportTargets(n.name, p.hallOf(n.hall))[0]); h != n {
 			return n.pools.PickAt(need, h.pools.PlaceFor(n.name, need))
@@ -93,7 +93,7 @@
 	for _, w := range n.view.ApplyDigest(p.clock.Service().Now(), from.name, d) {
 		covered[w.Node] = true
 	}
-	n.pools.TakeShares(d.Shares, covered, d.Placed)
+	n.pools.ApplyPeerLoads(d.Shares, covered, d.Placed)
 }
 
 // swapRelays swaps with the relays behind this one in name.
@@ -131,8 +131,8 @@
 	_, version := n.view.KnownVersion(n.name)
 	d := n.book.Digest(now, n.name, version)
 	if p.l.Spread == SpreadPlaced {
-		d.Shares[0].Whole = true
-		n.pools.Settle(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(hop)) })
+		d.Shares[0].Complete = true
+		n.pools.DropReported(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(hop)) })
 	}
 	p.take(n, n, d)
 }
--- a/internal/relay/aggregator.go
+++ b/internal/relay/aggregator.go
@@ -29,7 +29,7 @@
 	spent         map[string]counter
 	started       usage.Windows
 	loads         []pool.Load // of nodes that report to this relay only
-	reachability  pool.Reach
+	reachability  pool.Reachability
 	trials        []rollout.Word
 	pastTrials    []rollout.Word // of the node's former processes
 }
@@ -45,7 +45,7 @@
 	receivedAt   time.Time
 	unresponsive bool // no group received recently
 	version      uint64
-	share        pool.Share
+	share        pool.PeerLoad
 	trials       []rollout.Word
 }
 
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -45,7 +45,7 @@
 	view       View
 	usage      *usage.Book
 	updates    map[string]Update // from the last digest
-	shares     []pool.Share
+	shares     []pool.PeerLoad
 }
 
 func newFleet(halls, nodes int) *fleet {
@@ -220,7 +220,7 @@
 	}
 }
 
-func running(shares []pool.Share) int {
+func running(shares []pool.PeerLoad) int {
 	sum := 0
 	for _, s := range shares {
 		for _, l := range s.Loads {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -63,11 +63,11 @@
 }
 
 // reachability merges the findings of this relay's nodes, all of one hall, except one.
-func (a *Aggregator) reachability(now time.Time, except string) pool.Reach {
-	var sum pool.Reach
+func (a *Aggregator) reachability(now time.Time, except string) pool.Reachability {
+	var sum pool.Reachability
 	for name, v := range a.records {
 		if name != except && v.relay == a.self && !v.unresponsive {
-			sum = sum.Plus(v.reachability, now.Sub(v.lastSeen))
+			sum = sum.Merge(v.reachability, now.Sub(v.lastSeen))
 		}
 	}
 	return sum
@@ -102,12 +102,12 @@
 }
 
 // Shares returns the load of all nodes except one: first that of this relay's nodes, then that of the others.
-func (a *Aggregator) Shares(now time.Time, except string) []pool.Share {
-	return []pool.Share{a.ownShare(now, except), a.peerShare(now)}
+func (a *Aggregator) Shares(now time.Time, except string) []pool.PeerLoad {
+	return []pool.PeerLoad{a.ownShare(now, except), a.peerShare(now)}
 }
 
 // ownShare is the load of this relay's nodes, except one.
-func (a *Aggregator) ownShare(now time.Time, except string) pool.Share {
+func (a *Aggregator) ownShare(now time.Time, except string) pool.PeerLoad {
 	var s loadSum
 	for name, v := range a.records {
 		if name != except && v.relay == a.self && !v.unresponsive {
@@ -118,7 +118,7 @@
 }
 
 // peerShare is the load of the other relays' nodes.
-func (a *Aggregator) peerShare(now time.Time) pool.Share {
+func (a *Aggregator) peerShare(now time.Time) pool.PeerLoad {
 	var s loadSum
 	for _, g := range a.groups {
 		if age := now.Sub(g.receivedAt); age <= unresponsiveAfter {
@@ -207,15 +207,15 @@
 		v.Upstream = l.Upstream
 		v.Running += l.Running
 		v.Queued += l.Queued
-		v.Held += l.Held
+		v.Reserved += l.Reserved
 		s.loads[l.Upstream] = v
 		s.weightedAge += age * time.Duration(l.Running)
 		s.running += l.Running
 	}
 }
 
-func (s *loadSum) share() pool.Share {
-	v := pool.Share{Loads: make([]pool.Load, 0, len(s.loads))}
+func (s *loadSum) share() pool.PeerLoad {
+	v := pool.PeerLoad{Loads: make([]pool.Load, 0, len(s.loads))}
 	for _, l := range s.loads {
 		v.Loads = append(v.Loads, l)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -62,7 +62,7 @@
 	Spent        map[string]float64 // tokens charged since the process started, by workspace
 	Started      usage.Windows      // requests started, in the newest windows
 	Trials       []rollout.Word
-	Reachability pool.Reach
+	Reachability pool.Reachability
 }
 
 // Change is the changed state of one process.
@@ -82,12 +82,12 @@
 type Digest struct {
 	Incarnation  string                   // of the relay's process
 	Version      uint64                   // up to which changes are included
-	Shares       []pool.Share             // of all nodes but the receiver, as returned by Shares
+	Shares       []pool.PeerLoad          // of all nodes but the receiver, as returned by Shares
 	Relays       map[string]time.Duration // age of each relay's last group
 	Changes      []Change
 	Placed       []pool.Placement
-	Trials       []rollout.Word // of all nodes but the receiver
-	Reachability pool.Reach     // of the other nodes that report to this relay
+	Trials       []rollout.Word    // of all nodes but the receiver
+	Reachability pool.Reachability // of the other nodes that report to this relay
 }
 
 // Group is what a relay sends to another: the state of the nodes that report to it.
@@ -95,7 +95,7 @@
 	Relay       string
 	Incarnation string
 	Version     uint64 // up to which changes are included
-	Share       pool.Share
+	Share       pool.PeerLoad
 	Changes     []Change
 	Placed      []pool.Placement
 	Trials      []rollout.Word
