--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -85,7 +85,7 @@
 	kv         store.KV
 	era        *era.Clock
 	pools      *pool.Pools
-	lines      *forward.Lines
+	lines      *forward.Connections
 	front      *forward.Server
 	quarantine *quarantine.Book // tracks requests that crash upstreams
 	lease      *lease.Lease
@@ -112,12 +112,12 @@
 	usage         *usage.Book
 	peers         *peerTable
 	peerLog       peerLog
-	aggregator    *relay.Book     // state of this node as a relay
-	relayView     relay.View      // state received from this node's relay
-	homeRelay     string          // name of the relay that this node reports to
-	digestAt      time.Time       // arrival of the last digest
-	digestNodes   map[string]bool // nodes that the last digest covers
-	placeRetryAt  time.Time       // no relay is asked to place a request before this time
+	aggregator    *relay.Aggregator // state of this node as a relay
+	relayView     relay.View        // state received from this node's relay
+	homeRelay     string            // name of the relay that this node reports to
+	digestAt      time.Time         // arrival of the last digest
+	digestNodes   map[string]bool   // nodes that the last digest covers
+	placeRetryAt  time.Time         // no relay is asked to place a request before this time
 
 	peerListChange   int64         // newest change of the upstream list that a peer has reported
 	behindSince      time.Time     // since when this node lacks that change; zero: it doesn't
@@ -145,11 +145,11 @@
 	n := &Node{options: o, settings: s, clock: o.Clock, log: o.Log, start: o.Clock.Now(), initialized: make(chan struct{}), retryWindows: make(map[string]*retry.Window)}
 	n.pools = pool.New(o.Clock, s.Node, s.Hall)
 	n.pools.SetSenders(nil, nil) // until the other nodes are known
-	n.lines = forward.NewLines(o.Clock)
+	n.lines = forward.NewConnections(o.Clock)
 	n.quotas = quota.New(n.start, s.FirstStart)
 	n.usage = usage.New(s.Node, o.Incarnation, s.UsageWindow)
 	n.peers = newPeerTable(n)
-	n.aggregator = relay.NewBook(s.Node, o.Incarnation)
+	n.aggregator = relay.NewAggregator(s.Node, o.Incarnation)
 	n.quarantine = quarantine.NewBook(s.Node)
 	n.rollouts = newRollouts()
 	n.catalogFollower = n.newCatalogFollower()
@@ -162,9 +162,9 @@
 	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
 	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.LeaseTTL, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
-		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.initialized, Catalog: n.currentCatalog,
-		Place: n.placeByRelay, Charge: n.charge, Refund: n.refund, Began: n.countStarted, First: n.countFirstAttempt, Repeat: n.allowRetry, Heard: n.observeResponse, Phase: n.stopPhase, Suspects: n.quarantine, Reaches: n.reachesHall,
-		Trials: forward.Trials{Offer: n.offerTrial, Return: n.returnOffer, Note: n.recordResponse, Moves: n.movesStreams},
+		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Connections: n.lines, Ready: n.initialized, Catalog: n.currentCatalog,
+		Place: n.placeByRelay, Charge: n.charge, Refund: n.refund, CountStarted: n.countStarted, RecordFirstAttempt: n.countFirstAttempt, AllowRetry: n.allowRetry, ObserveResponse: n.observeResponse, Phase: n.stopPhase, Quarantine: n.quarantine, HallReachable: n.reachesHall,
+		Trials: forward.Trials{Offer: n.offerTrial, Return: n.returnOffer, Record: n.recordResponse, ShouldMove: n.movesStreams},
 	})
 	return n
 }
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -26,7 +26,7 @@
 func (n *Node) mergeSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
-		n.front.Held(n.quarantine.Hear(now, quarantine.WordsFromWire(now, m)), source)
+		n.front.ApplyQuarantine(n.quarantine.Hear(now, quarantine.WordsFromWire(now, m)), source)
 	}
 }
 
@@ -127,5 +127,5 @@
 		w.Ends = append(w.Ends, quarantine.End{Print: v.Fingerprint, Upstream: v.Upstream, At: at})
 	}
 	n.log.Info("held_found", zap.Int("ends", len(w.Ends)))
-	n.front.Held(n.quarantine.Hear(now, w), quarantineRecord.key)
+	n.front.ApplyQuarantine(n.quarantine.Hear(now, w), quarantineRecord.key)
 }
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -28,7 +28,7 @@
 func (n *Node) observeCrashes(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.Held(n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.ApplyQuarantine(n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -81,12 +81,12 @@
 	if !slices.Contains(relay.Relays(ordered), n.settings.Node) {
 		n.mu.Unlock()
 		if len(ordered) > 0 {
-			n.reportToRelay(ctx, relay.Homes(n.settings.Node, ordered)[0], r)
+			n.reportToRelay(ctx, relay.ReportTargets(n.settings.Node, ordered)[0], r)
 		}
 		return
 	}
-	n.aggregator.Gather(now, message.RelayReport(r))
-	_, version := n.relayView.Known(n.settings.Node)
+	n.aggregator.ApplyReport(now, message.RelayReport(r))
+	_, version := n.relayView.KnownVersion(n.settings.Node)
 	d := n.aggregator.Digest(now, n.settings.Node, version)
 	n.homeRelay = n.settings.Node
 	n.mu.Unlock()
@@ -106,7 +106,7 @@
 			nodes[p.name] = p.cores
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 // isPresent reports whether a peer is responsive or listed in the registry. The node's lock is held.
@@ -131,7 +131,7 @@
 func (n *Node) reportToRelay(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
-	incarnation, version := n.relayView.Known(name)
+	incarnation, version := n.relayView.KnownVersion(name)
 	n.mu.Unlock()
 	if p == nil {
 		return
@@ -142,7 +142,7 @@
 	n.recordRelayCall(p, err)
 	if err == nil {
 		n.mu.Lock()
-		n.aggregator.Away(name)
+		n.aggregator.OwnNodeMoved(name)
 		n.mu.Unlock()
 		n.applyGatherResponse(name, a.Msg)
 	}
@@ -177,12 +177,12 @@
 func (n *Node) applyDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
-	updates := n.relayView.Take(now, name, d)
+	updates := n.relayView.ApplyDigest(now, name, d)
 	covered := make(map[string]bool, len(updates))
 	for _, w := range updates {
 		covered[w.Node] = true
-		if p := n.peers.peers[w.Node]; p != nil && !(p.incarnation == w.Lifetime && p.sequence > w.Sequence) {
-			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
+		if p := n.peers.peers[w.Node]; p != nil && !(p.incarnation == w.Incarnation && p.sequence > w.Sequence) {
+			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Incarnation, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
 	n.digestAt, n.digestNodes, n.rollouts.digestTrials = now, covered, d.Trials
@@ -192,7 +192,7 @@
 	}
 	n.mu.Unlock()
 	n.pools.ApplyPeerLoads(d.Shares, covered, d.Placed)
-	n.applyReach(d.Reach)
+	n.applyReach(d.Reachability)
 }
 
 // applyReach applies what the other nodes of the hall couldn't reach.
@@ -206,7 +206,7 @@
 // and drops the pending placements that the share already contains. The node's lock is held.
 func (n *Node) confirmPlacements(shares []pool.PeerLoad) {
 	shares[0].Complete = true
-	n.pools.DropReported(func(node string, at time.Time) bool { return n.aggregator.Heard(node).After(at.Add(maxReportDelay)) })
+	n.pools.DropReported(func(node string, at time.Time) bool { return n.aggregator.LastSeen(node).After(at.Add(maxReportDelay)) })
 }
 
 // swapWithRelays swaps with the other relays whose turn it is.
@@ -257,10 +257,10 @@
 // buildGroup returns this relay's state for another relay that knows it up to a version. The node's lock is
 // held.
 func (n *Node) buildGroup(name, incarnation string, version uint64) *wire.Group {
-	v := n.aggregator.Group(n.clock.Now(), n.aggregator.Version(incarnation, version))
+	v := n.aggregator.Group(n.clock.Now(), n.aggregator.BaseVersion(incarnation, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
 	g := message.GroupToWire(v)
-	g.KnownLifetime, g.KnownVersion = n.aggregator.Known(name)
+	g.KnownLifetime, g.KnownVersion = n.aggregator.KnownVersion(name)
 	g.Suspicions = n.suspicions()
 	g.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	return g
@@ -274,9 +274,9 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	g := message.GroupFromWire(w)
-	n.aggregator.TakeIn(now, g)
+	n.aggregator.MergeGroup(now, g)
 	for _, c := range g.Changes {
-		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		n.usage.TakeIn(c.Node, c.Incarnation, c.Started)
 	}
 	if n.homeRelay == n.settings.Node {
 		shares := n.aggregator.Shares(now, n.settings.Node)
@@ -298,8 +298,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.aggregator.Gather(now, message.RelayReport(v))
-	d := n.aggregator.Digest(now, v.Node, n.aggregator.Version(r.Msg.Lifetime, r.Msg.Version))
+	n.aggregator.ApplyReport(now, message.RelayReport(v))
+	d := n.aggregator.Digest(now, v.Node, n.aggregator.BaseVersion(r.Msg.Lifetime, r.Msg.Version))
 	a := message.DigestToWire(d)
 	a.Suspicions = n.suspicions()
 	a.Limits = message.LimitsToWire(now, n.pools.Limits())
--- a/internal/edge/watchers.go
+++ b/internal/edge/watchers.go
@@ -105,7 +105,7 @@
 	if len(connected) == 0 {
 		connected = responsive
 	}
-	names := relay.Order(connected)
+	names := relay.RankNodes(connected)
 	return names[:min(len(names), watchersPerHall)]
 }
 
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -49,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		now := clock.Service().Now()
-		p, book := pool.New(clock.Service(), "a", "h"), relay.NewBook("a", "l")
+		p, book := pool.New(clock.Service(), "a", "h"), relay.NewAggregator("a", "l")
 		p.Update(func(l *pool.List) {
 			l.Put(pool.Item{Entry: pool.Entry{ID: "u", Service: "s", Address: "10.0.0.1:1", Slots: 8}, Revision: 1})
 		})
@@ -58,25 +58,25 @@
 			v := GroupFromWire(&g)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Share.Loads)
-			book.TakeIn(now, v)
+			book.MergeGroup(now, v)
 		}
 		var d wire.GatherResponse
 		if proto.Unmarshal(b, &d) == nil {
 			v := DigestFromWire(&d)
 			assertTrials(t, v.Trials)
 			var view relay.View
-			view.Take(now, "r", v)
+			view.ApplyDigest(now, "r", v)
 			p.ApplyPeerLoads(v.Shares, map[string]bool{"n": true}, v.Placed)
-			p.ApplyReachability(v.Reach)
+			p.ApplyReachability(v.Reachability)
 		}
 		var r wire.NodeReport
 		if proto.Unmarshal(b, &r) == nil {
 			v := RelayReport(&r)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
-			book.Gather(now, v)
+			book.ApplyReport(now, v)
 			p.ApplyReport("n", v.Loads, v.Placed, nil)
-			p.ApplyReachability(v.Reach)
+			p.ApplyReachability(v.Reachability)
 		}
 		var i wire.ListItem
 		if proto.Unmarshal(b, &i) == nil {
