--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -114,7 +114,7 @@
 // replay answers a key that is claimed already: with the answer on record, or with
 // "unknown", and never by running it.
 func (s *Server) replay(ctx context.Context, key uint64) *dispatch.Answer {
-	v, ok := s.o.Claims.Answer(ctx, key)
+	v, ok := s.o.Claims.LoadRecord(ctx, key)
 	if ok && v.Outcome == string(stream.OutcomeDone) {
 		return &dispatch.Answer{Outcome: stream.OutcomeDone, Status: v.Status, Header: v.Header, Body: v.Body, Replayed: true}
 	}
@@ -126,9 +126,9 @@
 
 func (s *Server) endClaim(c *dispatch.Call, a *dispatch.Answer) {
 	ran := a.Outcome != stream.OutcomeNotRun
-	var v *claim.Recorded
+	var v *claim.Record
 	if a.Outcome == stream.OutcomeDone && a.Rest == nil {
-		v = &claim.Recorded{Attempt: c.ID, Outcome: string(a.Outcome), Status: a.Status, Header: kept(a.Header), Body: a.Body}
+		v = &claim.Record{Attempt: c.ID, Outcome: string(a.Outcome), Status: a.Status, Header: kept(a.Header), Body: a.Body}
 	}
 	s.o.Claims.Finish(c.ID, ran, v)
 }
