--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -52,7 +52,7 @@
 	version  int64                  // of its catalog
 	revision int64                  // of its upstream list
 	work     map[string]capacity.Work
-	trials   []rollout.Word
+	trials   []rollout.Update
 	reach    pool.Reach
 	relaying relaying
 }
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -228,7 +228,7 @@
 	if t == nil || t.Order().Revision != o.Revision {
 		return rollout.Facts{}, 0, false
 	}
-	t.SignNow(n.clock.Now(), r.token)
+	t.IssueKeepAlive(n.clock.Now(), r.token)
 	v.gone = v.gone || n.rollouts.gone[o.Service] > o.Revision
 	answers, failed := t.Total().Answers()
 	f := rollout.Facts{
--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -122,7 +122,7 @@
 	token := takeOver(t, b)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageTrial)
-	assert.True(t, b.rollouts.trials["s"].Signed(r.clock.Service().Now()))
+	assert.True(t, b.rollouts.trials["s"].HasKeepAlive(r.clock.Service().Now()))
 	r.clock.Advance(time.Second)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageRolledBack)
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -28,7 +28,7 @@
 	trials map[string]*rollout.Trial  // by service
 	barred map[string]map[string]bool // versions that take nothing any more, by service
 	gone   map[string]int64           // revision at which an order was taken back, by service
-	others []rollout.Word             // as the relay told last
+	others []rollout.Update             // as the relay told last
 }
 
 func newRollouts() rollouts {
@@ -127,7 +127,7 @@
 }
 
 // hearWords takes in what is known of roll-outs elsewhere. The node's lock is held.
-func (n *Node) hearWords(now time.Time, words []rollout.Word, source string) {
+func (n *Node) hearWords(now time.Time, words []rollout.Update, source string) {
 	for _, w := range words {
 		n.beginTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
@@ -165,10 +165,10 @@
 
 // words is what this node tells of roll-outs. The node's lock is held, and the words are to be
 // turned into messages under it.
-func (n *Node) words() []rollout.Word {
-	var list []rollout.Word
+func (n *Node) words() []rollout.Update {
+	var list []rollout.Update
 	for _, t := range n.rollouts.trials {
-		list = append(list, t.Word())
+		list = append(list, t.Update())
 	}
 	return list
 }
@@ -282,7 +282,7 @@
 		answers, failed := t.Total().Answers()
 		of, others, running := n.pools.Versions(service, o.Target)
 		m := &wire.Rollout{
-			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.Signed(now), Answers: answers,
+			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.HasKeepAlive(now), Answers: answers,
 			Failed: failed, Suspicion: t.Suspicion(), Reason: v.Reason.String(), Route: v.Route, Upstreams: int64(of), Others: int64(others), Running: int64(running),
 		}
 		if !t.Since().IsZero() {
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -15,7 +15,7 @@
 )
 
 // assertTrials checks what is heard of roll-outs.
-func assertTrials(t *testing.T, list []rollout.Word) {
+func assertTrials(t *testing.T, list []rollout.Update) {
 	t.Helper()
 	for _, w := range list {
 		assert.True(t, w.Stage >= rollout.StageWaiting && w.Stage <= rollout.StageRolledBack, "stage %d", w.Stage)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -139,11 +139,11 @@
 }
 
 // TrialsToWire returns the message of what is known of roll-outs.
-func TrialsToWire(l []rollout.Word) []*wire.Trial {
+func TrialsToWire(l []rollout.Update) []*wire.Trial {
 	var r []*wire.Trial
 	for _, w := range l {
 		t := &wire.Trial{
-			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.Sign.Term, Beat: w.Sign.Beat, Stopped: w.Stopped,
+			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.KeepAlive.Term, Beat: w.KeepAlive.Sequence, Stopped: w.Stopped,
 		}
 		w.Tally.Cells(func(route string, group int, c *rollout.Cell) {
 			t.Cells = append(t.Cells, &wire.TrialCell{
@@ -156,14 +156,14 @@
 }
 
 // TrialsFromWire is the inverse of TrialsToWire.
-func TrialsFromWire(l []*wire.Trial) []rollout.Word {
-	var r []rollout.Word
+func TrialsFromWire(l []*wire.Trial) []rollout.Update {
+	var r []rollout.Update
 	for _, t := range l {
 		if !rollout.Stage(t.Stage).Known() {
 			continue // of a node of another version; what isn't known here can't be followed
 		}
-		w := rollout.Word{
-			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), Sign: rollout.Sign{Term: t.Term, Beat: t.Beat},
+		w := rollout.Update{
+			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), KeepAlive: rollout.KeepAlive{Term: t.Term, Sequence: t.Beat},
 			Stopped: t.Stopped, Tally: make(rollout.Tally),
 		}
 		for _, c := range t.Cells {
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -51,13 +51,13 @@
 		}
 		return c
 	}), 0, 2)
-	trials = rapid.Custom(func(t *rapid.T) []rollout.Word {
-		var list []rollout.Word
+	trials = rapid.Custom(func(t *rapid.T) []rollout.Update {
+		var list []rollout.Update
 		for range rapid.IntRange(0, 2).Draw(t, "trials") {
-			w := rollout.Word{
+			w := rollout.Update{
 				Service: names.Draw(t, "service"), Target: names.Draw(t, "target"), Order: rapid.Int64().Draw(t, "order"),
 				Stage: rollout.Stage(rapid.IntRange(0, 6).Draw(t, "stage")), Stopped: rapid.Bool().Draw(t, "stopped"), Tally: make(rollout.Tally),
-				Sign: rollout.Sign{Term: rapid.Int64().Draw(t, "term"), Beat: rapid.Int64().Draw(t, "beat")},
+				KeepAlive: rollout.KeepAlive{Term: rapid.Int64().Draw(t, "term"), Sequence: rapid.Int64().Draw(t, "beat")},
 			}
 			w.Tally.Set(names.Draw(t, "route"), rapid.IntRange(0, 3).Draw(t, "group"), rollout.Cell{
 				Answers: rapid.Int64().Draw(t, "answers"), Failed: rapid.Int64().Draw(t, "failed"),
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -250,7 +250,7 @@
 		p.after(2*time.Second, p.elect)
 		return
 	}
-	n.trial.SignNow(p.time(), p.term)
+	n.trial.IssueKeepAlive(p.time(), p.term)
 	if p.state.Stage == rollout.StageFull && p.time().Sub(p.state.Since) >= p.state.Order.MovesAfter() {
 		p.move()
 	}
@@ -298,7 +298,7 @@
 		return
 	}
 	n.sequence++
-	r := relay.Report{Node: n.name, Lifetime: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Word{word(n.trial)}}
+	r := relay.Report{Node: n.name, Lifetime: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Update{word(n.trial)}}
 	ordered := p.hallOf(n.hall)
 	if h := p.home(n, ordered); h == n {
 		n.book.Gather(p.time(), r)
@@ -315,8 +315,8 @@
 }
 
 // word copies what a node tells: the node goes on counting.
-func word(t *rollout.Trial) rollout.Word {
-	w := t.Word()
+func word(t *rollout.Trial) rollout.Update {
+	w := t.Update()
 	w.Tally = w.Tally.Plus(nil)
 	return w
 }
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -30,8 +30,8 @@
 	started  usage.Windows
 	loads    []pool.Load // of the relay's own nodes
 	reach    pool.Reach
-	trials   []rollout.Word
-	ended    []rollout.Word // of the node's processes before
+	trials   []rollout.Update
+	ended    []rollout.Update // of the node's processes before
 }
 
 type counter struct {
@@ -46,7 +46,7 @@
 	lost     bool // it isn't heard any more
 	version  uint64
 	share    pool.Share
-	trials   []rollout.Word
+	trials   []rollout.Update
 }
 
 type placing struct {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -63,7 +63,7 @@
 	Placed   []pool.Placement
 	Spent    map[string]float64 // tokens charged since the process began, by workspace
 	Started  usage.Windows      // requests begun, of the newest windows
-	Trials   []rollout.Word
+	Trials   []rollout.Update
 	Reach    pool.Reach
 }
 
@@ -88,7 +88,7 @@
 	Relays   map[string]time.Duration // age of what each relay has told of its nodes
 	Changes  []Change
 	Placed   []pool.Placement
-	Trials   []rollout.Word // of all nodes but the asker
+	Trials   []rollout.Update // of all nodes but the asker
 	Reach    pool.Reach     // of the other nodes that report here
 }
 
@@ -100,5 +100,5 @@
 	Share    pool.Share
 	Changes  []Change
 	Placed   []pool.Placement
-	Trials   []rollout.Word
+	Trials   []rollout.Update
 }
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -75,8 +75,8 @@
 
 // otherTrials is what the other relays' nodes have seen of roll-outs. A relay that isn't heard
 // doesn't count: its nodes tell the same through another one, or are cut off.
-func (b *Book) otherTrials(now time.Time) []rollout.Word {
-	var sum []rollout.Word
+func (b *Book) otherTrials(now time.Time) []rollout.Update {
+	var sum []rollout.Update
 	for _, g := range b.groups {
 		if now.Sub(g.heard) <= silentAfter {
 			sum = rollout.Merge(sum, g.trials)
@@ -87,8 +87,8 @@
 
 // ownTrials is what this relay's nodes have seen of roll-outs, but for one of them, those
 // included that aren't heard any more: what they saw stays true.
-func (b *Book) ownTrials(but string) []rollout.Word {
-	var sum []rollout.Word
+func (b *Book) ownTrials(but string) []rollout.Update {
+	var sum []rollout.Update
 	for name, v := range b.records {
 		if v.relay != b.self {
 			continue
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -42,7 +42,7 @@
 	seed    func(route string) float64
 	stage   Stage
 	since   time.Time // when this node learned of the stage
-	sign    Sign
+	sign    KeepAlive
 	signed  time.Time // when the newest sign came; zero: none has
 	stopped bool
 	verdict Verdict
@@ -89,16 +89,16 @@
 // Total is all that this node knows of the answers.
 func (t *Trial) Total() Tally { return t.own.Plus(t.others) }
 
-// Word is what this node tells: what it has seen itself, and what is known to all.
-func (t *Trial) Word() Word {
-	return Word{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, Sign: t.sign, Stopped: t.stopped, Tally: t.own}
+// Update is what this node tells: what it has seen itself, and what is known to all.
+func (t *Trial) Update() Update {
+	return Update{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, KeepAlive: t.sign, Stopped: t.stopped, Tally: t.own}
 }
 
-// SignNow gives a sign of life, as the holder of the duties.
-func (t *Trial) SignNow(now time.Time, term int64) {
-	s := Sign{Term: term, Beat: 1}
+// IssueKeepAlive gives a sign of life, as the holder of the duties.
+func (t *Trial) IssueKeepAlive(now time.Time, term int64) {
+	s := KeepAlive{Term: term, Sequence: 1}
 	if t.sign.Term == term {
-		s.Beat = t.sign.Beat + 1
+		s.Sequence = t.sign.Sequence + 1
 	}
 	t.take(now, s)
 }
@@ -112,13 +112,13 @@
 
 // Hear takes in what is known of this order elsewhere, and tells whether the node stops by it.
 // What the word tells of answers is that of all other nodes that it covers.
-func (t *Trial) Hear(now time.Time, w Word) {
+func (t *Trial) Hear(now time.Time, w Update) {
 	if w.Order != t.order.Revision {
 		return
 	}
 	t.Raise(now, w.Stage)
 	t.stopped = t.stopped || w.Stopped
-	t.take(now, w.Sign)
+	t.take(now, w.KeepAlive)
 }
 
 // Others sets what all other nodes have seen, and judges anew. It tells whether this made the
@@ -137,14 +137,14 @@
 	return true
 }
 
-func (t *Trial) take(now time.Time, s Sign) {
+func (t *Trial) take(now time.Time, s KeepAlive) {
 	if s.newer(t.sign) {
 		t.sign, t.signed = s, now
 	}
 }
 
-// Signed tells whether the holder of the duties was heard of lately.
-func (t *Trial) Signed(now time.Time) bool {
+// HasKeepAlive tells whether the holder of the duties was heard of lately.
+func (t *Trial) HasKeepAlive(now time.Time) bool {
 	return !t.signed.IsZero() && now.Sub(t.signed) <= signKeeps
 }
 
@@ -152,7 +152,7 @@
 // on trial.
 func (t *Trial) Offer(now time.Time, route string) bool {
 	s := t.stage.share(t.share)
-	if s == 0 || t.stopped || !t.Signed(now) {
+	if s == 0 || t.stopped || !t.HasKeepAlive(now) {
 		return false
 	}
 	c, ok := t.credits[route]
@@ -185,7 +185,7 @@
 	switch {
 	case t.stage == StageCompleted:
 		return SideTarget
-	case t.stage == StageFull && !t.stopped && t.Signed(now):
+	case t.stage == StageFull && !t.stopped && t.HasKeepAlive(now):
 		return SideTarget
 	}
 	return SideInService
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -20,7 +20,7 @@
 func onTrial(credit float64) *Trial {
 	t := NewTrial(order, 0.1, func(string) float64 { return credit })
 	t.Raise(start, StageTrial)
-	t.SignNow(start, 10)
+	t.IssueKeepAlive(start, 10)
 	return t
 }
 
@@ -60,7 +60,7 @@
 	for name, change := range map[string]func(v *Trial){
 		"before the first stage":        func(v *Trial) { *v = *NewTrial(order, 0.1, func(string) float64 { return 0.99 }) },
 		"after the end":                 func(v *Trial) { v.Raise(start, StageRolledBack) },
-		"where somebody stopped":        func(v *Trial) { v.Hear(start, Word{Order: 5, Stopped: true}) },
+		"where somebody stopped":        func(v *Trial) { v.Hear(start, Update{Order: 5, Stopped: true}) },
 		"without a sign of the holder":  func(v *Trial) { v.signed = at(-signKeeps - time.Millisecond) },
 		"where no sign has come at all": func(v *Trial) { v.signed = time.Time{} },
 	} {
@@ -73,7 +73,7 @@
 	}
 	t.Run("another order's word says nothing", func(t *testing.T) {
 		v := onTrial(0.5)
-		v.Hear(start, Word{Order: 4, Stopped: true, Stage: StageRolledBack})
+		v.Hear(start, Update{Order: 4, Stopped: true, Stage: StageRolledBack})
 		assert.Equal(t, StageTrial, v.Stage())
 		assert.False(t, v.Stopped())
 	})
@@ -90,10 +90,10 @@
 
 func TestSignsOfALaterTermCount(t *testing.T) {
 	v := onTrial(0.5)
-	v.Hear(at(time.Minute), Word{Order: 5, Sign: Sign{Term: 9, Beat: 1000}})
-	assert.False(t, v.Signed(at(time.Minute)), "a deposed holder's")
-	v.Hear(at(time.Minute), Word{Order: 5, Sign: Sign{Term: 11, Beat: 1}})
-	assert.True(t, v.Signed(at(time.Minute)))
+	v.Hear(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 9, Sequence: 1000}})
+	assert.False(t, v.HasKeepAlive(at(time.Minute)), "a deposed holder's")
+	v.Hear(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 11, Sequence: 1}})
+	assert.True(t, v.HasKeepAlive(at(time.Minute)))
 }
 
 // TestExposure draws nodes that are killed and start anew, requests at whichever of them, and
@@ -106,7 +106,7 @@
 		fresh := func() *Trial {
 			v := NewTrial(order, 0.1, func(string) float64 { return random.Draw(t, "credit") })
 			v.Raise(start, StageTrial)
-			v.SignNow(start, 1)
+			v.IssueKeepAlive(start, 1)
 			return v
 		}
 		fleet := make([]*Trial, nodes)
@@ -158,15 +158,15 @@
 		return v
 	}
 	own := tally(1)
-	list := Merge(nil, []Word{{Service: "s", Order: 5, Stage: StageTrial, Tally: own}})
-	list = Merge(list, []Word{{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, Sign: Sign{1, 2}, Tally: tally(2)}, {Service: "x", Order: 1}})
-	list = Merge(list, []Word{{Service: "s", Order: 4, Stage: StageRolledBack, Tally: tally(9)}})
+	list := Merge(nil, []Update{{Service: "s", Order: 5, Stage: StageTrial, Tally: own}})
+	list = Merge(list, []Update{{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: tally(2)}, {Service: "x", Order: 1}})
+	list = Merge(list, []Update{{Service: "s", Order: 4, Stage: StageRolledBack, Tally: tally(9)}})
 	assert.Len(t, list, 2)
 	answers, _ := list[0].Tally.Answers()
 	assert.Equal(t, int64(3), answers)
-	assert.Equal(t, Word{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, Sign: Sign{1, 2}, Tally: list[0].Tally}, list[0])
+	assert.Equal(t, Update{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: list[0].Tally}, list[0])
 	answers, _ = own.Answers()
 	assert.Equal(t, int64(1), answers, "what was merged is left as it was")
-	list = Merge(list, []Word{{Service: "s", Order: 6, Tally: tally(4)}})
+	list = Merge(list, []Update{{Service: "s", Order: 6, Tally: tally(4)}})
 	assert.Equal(t, StageWaiting, list[0].Stage, "a newer order takes the place")
 }
