--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -78,9 +78,9 @@
 // answers lets so many answers of the target be noted at a node.
 func answers(n *Node, count int) {
 	for i := 0; i < count; i++ {
-		n.noteAnswer("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
+		n.noteAnswer("s", "r", i%2, rollout.Response{Started: true, First: 1})
 		for k := 0; k < 3; k++ {
-			n.noteAnswer("s", "r", -1, rollout.Answer{Begun: true, First: 1})
+			n.noteAnswer("s", "r", -1, rollout.Response{Started: true, First: 1})
 		}
 	}
 }
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -215,14 +215,14 @@
 }
 
 // noteAnswer takes in an answer of a service under a roll-out.
-func (n *Node) noteAnswer(service, route string, rank int, a rollout.Answer) {
+func (n *Node) noteAnswer(service, route string, rank int, a rollout.Response) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
 	if t == nil || t.Stage().Ended() {
 		return
 	}
-	if t.Note(route, rank, a) {
+	if t.Observe(route, rank, a) {
 		n.logStop(t, "own answers")
 		n.applySplit(n.clock.Now(), service)
 	}
@@ -279,7 +279,7 @@
 	r := &wire.RolloutsResponse{}
 	for service, t := range n.rollouts.trials {
 		o, v := t.Order(), t.Verdict()
-		answers, failed := t.Total().Answers()
+		answers, failed := t.Total().Responses()
 		of, others, running := n.pools.Versions(service, o.Target)
 		m := &wire.Rollout{
 			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.HasKeepAlive(now), Answers: answers,
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -198,7 +198,7 @@
 	}
 	a.end(s.verdict(ctx, a, err))
 	if ctx.Err() == nil && errors.Is(err, errLost) && !a.withdrawn() {
-		s.o.Trials.Note(q.service, q.route.Name(), use.Rank(), rollout.Answer{Failed: true})
+		s.o.Trials.Note(q.service, q.route.Name(), use.Rank(), rollout.Response{Failed: true})
 	}
 	f := append(chosen(use), zap.String("request", q.meta.ID),
 		zap.String("address", use.Entry().Address), zap.Int("send", q.sends), zap.Duration("after", s.o.Clock.Since(q.arrived)),
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -100,7 +100,7 @@
 	Return func(service, route string)
 	// Note takes in an answer of an upstream of that rank among the target's; -1: of another
 	// version.
-	Note func(service, route string, rank int, a rollout.Answer)
+	Note func(service, route string, rank int, a rollout.Response)
 	// Moves tells whether a stream at an upstream that is none of the target's is to go on at
 	// the target.
 	Moves func(service string) bool
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -109,7 +109,7 @@
 		err = because(err, c)
 	}
 	t.a.end(pool.ResultFailed)
-	t.note(rollout.Answer{Failed: true, Later: true})
+	t.note(rollout.Response{Failed: true, AfterStart: true})
 	f := []zap.Field{
 		zap.String("request", t.q.meta.ID), zap.String("upstream", t.a.use.Entry().ID), zap.String("last_event", t.last), zap.String("cause", fault.Reason(err)),
 	}
--- a/internal/forward/trial.go
+++ b/internal/forward/trial.go
@@ -32,12 +32,12 @@
 
 // noteBegun tells of an attempt that has brought an answer's beginning.
 func (s *Server) noteBegun(q *request, a *attempt) {
-	v := rollout.Answer{Begun: true, First: a.use.Lag(), Failed: a.head.StatusCode >= http.StatusInternalServerError}
+	v := rollout.Response{Started: true, First: a.use.Lag(), Failed: a.head.StatusCode >= http.StatusInternalServerError}
 	s.o.Trials.Note(q.service, q.route.Name(), a.use.Rank(), v)
 }
 
 // note tells what is new of the stream's answer.
-func (t *stream) note(a rollout.Answer) {
+func (t *stream) note(a rollout.Response) {
 	t.s.o.Trials.Note(t.q.service, t.q.route.Name(), t.a.use.Rank(), a)
 }
 
@@ -56,7 +56,7 @@
 		return
 	}
 	d := t.at.Sub(t.a.began) / (pacedEvents - 1)
-	t.note(rollout.Answer{Pace: float64(d) / float64(time.Millisecond)})
+	t.note(rollout.Response{Pace: float64(d) / float64(time.Millisecond)})
 }
 
 // errMoved says that a stream is to go on elsewhere though its upstream is well.
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -147,7 +147,7 @@
 		}
 		w.Tally.Cells(func(route string, group int, c *rollout.Cell) {
 			t.Cells = append(t.Cells, &wire.TrialCell{
-				Route: route, Group: int32(group), Answers: c.Answers, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
+				Route: route, Group: int32(group), Answers: c.Responses, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
 			})
 		})
 		r = append(r, t)
@@ -168,7 +168,7 @@
 		}
 		for _, c := range t.Cells {
 			w.Tally.Set(c.Route, int(c.Group), rollout.Cell{
-				Answers: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
+				Responses: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
 			})
 		}
 		r = append(r, w)
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -60,7 +60,7 @@
 				KeepAlive: rollout.KeepAlive{Term: rapid.Int64().Draw(t, "term"), Sequence: rapid.Int64().Draw(t, "beat")},
 			}
 			w.Tally.Set(names.Draw(t, "route"), rapid.IntRange(0, 3).Draw(t, "group"), rollout.Cell{
-				Answers: rapid.Int64().Draw(t, "answers"), Failed: rapid.Int64().Draw(t, "failed"),
+				Responses: rapid.Int64().Draw(t, "answers"), Failed: rapid.Int64().Draw(t, "failed"),
 				First: rollout.HistogramOf(rapid.SliceOfN(rapid.Int64Range(0, 99), 0, 5).Draw(t, "first")),
 				Pace:  rollout.HistogramOf(rapid.SliceOfN(rapid.Int64Range(0, 99), 0, 5).Draw(t, "pace")),
 			})
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -81,9 +81,9 @@
 	Began time.Time // when the order was given, as far as is known
 	Stage Stage
 	Since time.Time // when the stage began
-	// Answers is how many answers of the target had been seen when the stage began, and Seen
+	// Responses is how many answers of the target had been seen when the stage began, and Seen
 	// how many when the holder before last said so in the store; 0: it began under this one.
-	Answers int64
+	Responses int64
 	Seen    int64
 	Found   time.Time // when this holder found the stage; zero: it began under this one
 	lost    bool      // those that had seen the target before are gone
@@ -96,7 +96,7 @@
 	Target    int   // upstreams of the target that take requests
 	Others    int   // of other versions
 	Running   int   // requests at upstreams of other versions
-	Answers   int64 // of the target, seen by the processes that live
+	Responses   int64 // of the target, seen by the processes that live
 	Stopped   bool
 	Suspicion float64 // that the target is bad; 1 stops it
 	Clear     bool    // the target's newest answers speak for it
@@ -151,7 +151,7 @@
 		return s.Stage, CauseSuspected
 	case s.Stage >= StageFifth && !f.Clear:
 		return s.Stage, CauseSuspected
-	case !s.shown(f.Answers):
+	case !s.shown(f.Responses):
 		return s.Stage, CauseFewAnswers
 	case float64(f.Target) < leastUpstreams*float64(f.Others):
 		return s.Stage, CauseFewUpstream
@@ -181,12 +181,12 @@
 	case s.lost:
 		return answers >= leastAfterLoss
 	}
-	return answers-s.Answers >= leastAnswers
+	return answers-s.Responses >= leastAnswers
 }
 
 // Go returns the state at the start of another stage, with so many answers seen.
 func (s State) Go(now time.Time, next Stage, answers int64) State {
-	return State{Order: s.Order, Began: s.Began, Stage: next, Since: now, Answers: answers}
+	return State{Order: s.Order, Began: s.Began, Stage: next, Since: now, Responses: answers}
 }
 
 // SeenEvery is how often the holder writes how many answers have been seen.
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -10,7 +10,7 @@
 
 // well is what a holder knows when nothing speaks against the target.
 func well(answers int64) Facts {
-	return Facts{Target: 10, Others: 10, Running: 5, Answers: answers, Clear: true}
+	return Facts{Target: 10, Others: 10, Running: 5, Responses: answers, Clear: true}
 }
 
 // assertNext checks what follows a stage at a moment, if the stage began long enough ago.
@@ -63,7 +63,7 @@
 
 // TestAnswersOfALostFleet: after a loss of all nodes, more has to be seen.
 func TestAnswersOfALostFleet(t *testing.T) {
-	s := State{Order: order, Stage: StageFifth, Answers: 200}
+	s := State{Order: order, Stage: StageFifth, Responses: 200}
 	assert.False(t, s.shown(219))
 	assert.True(t, s.shown(220))
 	s.Seen, s.Found = 300, start
@@ -92,7 +92,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			f := Facts{
 				Target: rapid.IntRange(0, 12).Draw(t, "target"), Others: rapid.IntRange(0, 12).Draw(t, "others"), Running: rapid.IntRange(0, 2).Draw(t, "running"),
-				Answers: int64(rapid.IntRange(0, 100).Draw(t, "answers")), Stopped: rapid.IntRange(0, 30).Draw(t, "stopped") == 0,
+				Responses: int64(rapid.IntRange(0, 100).Draw(t, "answers")), Stopped: rapid.IntRange(0, 30).Draw(t, "stopped") == 0,
 				Suspicion: rapid.Float64Range(0, 0.9).Draw(t, "suspicion"), Clear: rapid.Bool().Draw(t, "clear"),
 			}
 			next, _ := s.Next(now, f)
@@ -106,7 +106,7 @@
 				t.Fatalf("%v after the time", next)
 			}
 			if next != s.Stage {
-				s.Stage, s.Since, s.Answers = next, now, f.Answers
+				s.Stage, s.Since, s.Responses = next, now, f.Responses
 			}
 		}
 	})
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -25,12 +25,12 @@
 	signKeeps = 2 * time.Second
 )
 
-// Answer is what is new of an answer of an upstream. One that begins and breaks off later is
+// Response is what is new of an answer of an upstream. One that begins and breaks off later is
 // noted twice.
-type Answer struct {
-	Begun  bool    // its first event or head has come
+type Response struct {
+	Started  bool    // its first event or head has come
 	Failed bool    // it failed
-	Later  bool    // after it had begun
+	AfterStart  bool    // after it had begun
 	First  float64 // time to the first event or the head, as a part of what was expected; 0: not known
 	Pace   float64 // pause between the first events, in milliseconds; 0: not known
 }
@@ -197,16 +197,16 @@
 	return max(1, int(t.stage.share(t.share)*float64(inService)+0.5))
 }
 
-// Note takes in an answer: of the target's upstream of that rank, or, with rank -1, of the
+// Observe takes in an answer: of the target's upstream of that rank, or, with rank -1, of the
 // version in service. It tells whether this made the node stop.
-func (t *Trial) Note(route string, rank int, a Answer) bool {
+func (t *Trial) Observe(route string, rank int, a Response) bool {
 	g := groupInService
 	if rank >= 0 {
 		g = groupOf(rank)
 	}
 	c := &t.own.row(route)[g]
-	if a.Begun || a.Failed && !a.Later {
-		c.Answers++
+	if a.Started || a.Failed && !a.AfterStart {
+		c.Responses++
 	}
 	if a.Failed {
 		c.Failed++
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -154,7 +154,7 @@
 func TestMerge(t *testing.T) {
 	tally := func(n int64) Tally {
 		v := make(Tally)
-		v.Set("r", 1, Cell{Answers: n})
+		v.Set("r", 1, Cell{Responses: n})
 		return v
 	}
 	own := tally(1)
@@ -162,10 +162,10 @@
 	list = Merge(list, []Update{{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: tally(2)}, {Service: "x", Order: 1}})
 	list = Merge(list, []Update{{Service: "s", Order: 4, Stage: StageRolledBack, Tally: tally(9)}})
 	assert.Len(t, list, 2)
-	answers, _ := list[0].Tally.Answers()
+	answers, _ := list[0].Tally.Responses()
 	assert.Equal(t, int64(3), answers)
 	assert.Equal(t, Update{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: list[0].Tally}, list[0])
-	answers, _ = own.Answers()
+	answers, _ = own.Responses()
 	assert.Equal(t, int64(1), answers, "what was merged is left as it was")
 	list = Merge(list, []Update{{Service: "s", Order: 6, Tally: tally(4)}})
 	assert.Equal(t, StageWaiting, list[0].Stage, "a newer order takes the place")
