--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -77,7 +77,7 @@
 	o.n.beginTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Revision: 7}, "test")
 	assert.Equal(t, 2, hallOf(o, "a").Reclaimable)
 	assert.True(t, o.n.rollingOut("s"), "none is let go before the end")
-	o.n.rollouts.trials["s"].Raise(clock.Service().Now(), rollout.StageCompleted)
+	o.n.rollouts.trials["s"].AdvanceTo(clock.Service().Now(), rollout.StageCompleted)
 	assert.Equal(t, 1, hallOf(o, "a").Reclaimable)
 	assert.False(t, o.n.rollingOut("s"))
 }
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -90,7 +90,7 @@
 		}
 		service := p.Key[len(rollingPrefix):]
 		if t := n.rollouts.trials[service]; t != nil && (t.Order().Revision == v.Order || t.Order().Continues(v.Order, v.Target)) {
-			t.Raise(now, v.Stage)
+			t.AdvanceTo(now, v.Stage)
 			n.applySplit(now, service)
 			n.log.Info("rollout_found", zap.String("service", service), zap.Int64("order", v.Order), zap.Stringer("stage", v.Stage))
 		}
@@ -132,7 +132,7 @@
 		n.beginTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
 		stage, stopped := t.Stage(), t.Stopped()
-		t.Hear(now, w)
+		t.ApplyUpdate(now, w)
 		if t.Stage() != stage || t.Stopped() != stopped {
 			n.log.Info("rollout_heard", zap.String("service", w.Service), zap.Int64("order", w.Order), zap.Stringer("stage", t.Stage()),
 				zap.Bool("stopped", t.Stopped()), zap.String("source", source))
@@ -155,7 +155,7 @@
 	}
 	for service, t := range n.rollouts.trials {
 		for _, w := range others {
-			if w.Service == service && w.Order == t.Order().Revision && t.Others(w.Tally) {
+			if w.Service == service && w.Order == t.Order().Revision && t.SetPeerTally(w.Tally) {
 				n.logStop(t, "the others' answers")
 			}
 		}
@@ -186,7 +186,7 @@
 		bars[target] = true
 	}
 	n.pools.SetSplit(service, pool.Split{
-		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, AsLast: t.Stage() == rollout.StageWaiting && !t.Stopped(), Trials: t.Trials(others), Barred: bars,
+		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, AsLast: t.Stage() == rollout.StageWaiting && !t.Stopped(), Trials: t.TrialUpstreams(others), Barred: bars,
 	})
 }
 
@@ -202,7 +202,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
-	return t != nil && t.Offer(n.clock.Now(), route)
+	return t != nil && t.TakeCredit(n.clock.Now(), route)
 }
 
 // unoffer takes back an offer that couldn't be kept.
@@ -210,7 +210,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if t := n.rollouts.trials[service]; t != nil {
-		t.Return(route)
+		t.ReturnCredit(route)
 	}
 }
 
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -129,7 +129,7 @@
 func Rollout(l RolloutLoad) RolloutOutcome {
 	p := &rolloutPlay{
 		l: l, random: rand.New(rand.NewPCG(l.Seed, 7)), clock: timer.NewManual(time.Unix(1_700_000_000, 0)), running: make(map[string]int), movable: make(map[int]*move),
-		state: rollout.State{Order: rollout.Order{Service: service, Target: "v2", Duration: l.Duration, Revision: 5}, Began: time.Unix(1_700_000_000, 0)},
+		state: rollout.State{Order: rollout.Order{Service: service, Target: "v2", Duration: l.Duration, Revision: 5}, OrderedAt: time.Unix(1_700_000_000, 0)},
 	}
 	lasts := 0.0
 	for _, r := range l.Routes {
@@ -159,7 +159,7 @@
 	n.sequence, n.view, n.down = 0, relay.View{}, false
 	n.book = relay.NewBook(n.name, fmt.Sprint(n.lifetime))
 	n.trial = rollout.NewTrial(p.state.Order, p.l.Exposure, func(string) float64 { return p.random.Float64() })
-	n.trial.Raise(p.time(), ended(p.stored.Stage))
+	n.trial.AdvanceTo(p.time(), ended(p.stored.Stage))
 }
 
 // ended is what a process reads of a roll-out when it starts: only its end stands where all
@@ -226,9 +226,9 @@
 	for _, n := range p.nodes {
 		if !n.down && n.hall != p.cutHall && !p.storeDown {
 			p.holder, p.state = n, p.stored
-			p.state.Found = p.time()
+			p.state.FoundAt = p.time()
 			p.term++
-			n.trial.Raise(p.time(), p.stored.Stage)
+			n.trial.AdvanceTo(p.time(), p.stored.Stage)
 			return
 		}
 	}
@@ -261,20 +261,20 @@
 	if p.l.Judge != nil {
 		f.Stopped, f.Suspicion, f.Clear = p.l.Judge(n.trial.Total()), 0, true
 	}
-	p.state = p.state.Settle(p.time(), answers)
+	p.state = p.state.ResolveTakeover(p.time(), answers)
 	next, cause := p.state.Next(p.time(), f)
 	if next == p.state.Stage {
-		if p.time().Sub(p.said) >= rollout.SeenEvery {
-			p.said, p.stored.Seen = p.time(), answers
+		if p.time().Sub(p.said) >= rollout.ResponsesWriteInterval {
+			p.said, p.stored.PriorResponses = p.time(), answers
 		}
 		return
 	}
 	if next == rollout.StageCompleted {
 		p.out.Cut = p.oldRunning
 	}
-	p.state = p.state.Go(p.time(), next, answers)
+	p.state = p.state.Advance(p.time(), next, answers)
 	p.stored = p.state
-	n.trial.Raise(p.time(), next)
+	n.trial.AdvanceTo(p.time(), next)
 	if next.Ended() {
 		p.out.Cause, p.out.At, p.out.Verdict, p.ended = cause, p.now, n.trial.Verdict(), true
 	}
@@ -351,8 +351,8 @@
 
 func (p *rolloutPlay) take(n *rolloutNode, d relay.Digest) {
 	for _, w := range d.Trials {
-		n.trial.Hear(p.time(), w)
-		n.trial.Others(w.Tally)
+		n.trial.ApplyUpdate(p.time(), w)
+		n.trial.SetPeerTally(w.Tally)
 	}
 }
 
--- a/internal/model/rollout_traffic.go
+++ b/internal/model/rollout_traffic.go
@@ -34,7 +34,7 @@
 	if p.now < p.l.Duration {
 		p.out.Reached++
 	}
-	offered := n.trial.Offer(p.time(), r.Name)
+	offered := n.trial.TakeCredit(p.time(), r.Name)
 	if p.ended && p.stored.Stage == rollout.StageCompleted || offered || n.trial.Side(p.time()) == rollout.SideTarget {
 		p.atTarget(n, r, offered)
 		return
@@ -56,7 +56,7 @@
 func (p *rolloutPlay) atTarget(n *rolloutNode, r RolloutRoute, offered bool) {
 	k := p.l.Target
 	if offered && !p.l.Even {
-		k = min(k, n.trial.Trials(p.l.InService))
+		k = min(k, n.trial.TrialUpstreams(p.l.InService))
 	}
 	rank := p.random.IntN(k)
 	id := p.targetName(rank)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -78,14 +78,14 @@
 // State is what stands in the store of a roll-out.
 type State struct {
 	Order Order
-	Began time.Time // when the order was given, as far as is known
+	OrderedAt time.Time // when the order was given, as far as is known
 	Stage Stage
 	Since time.Time // when the stage began
 	// Responses is how many answers of the target had been seen when the stage began, and Seen
 	// how many when the holder before last said so in the store; 0: it began under this one.
 	Responses int64
-	Seen    int64
-	Found   time.Time // when this holder found the stage; zero: it began under this one
+	PriorResponses    int64
+	FoundAt   time.Time // when this holder found the stage; zero: it began under this one
 	lost    bool      // those that had seen the target before are gone
 }
 
@@ -104,7 +104,7 @@
 
 // Next returns the stage that a roll-out is to be in, and why.
 func (s State) Next(now time.Time, f Facts) (Stage, Cause) {
-	past := now.Sub(s.Began)
+	past := now.Sub(s.OrderedAt)
 	part := func(x float64) time.Duration { return time.Duration(x * float64(s.Order.Duration)) }
 	switch {
 	case s.Stage.Ended():
@@ -129,7 +129,7 @@
 
 // lasts is how long a step is observed: less if it began late.
 func (s State) lasts() time.Duration {
-	late := float64(s.Since.Sub(s.Began))/float64(s.Order.Duration) - trialUntil - float64(s.Stage-StageFifth)*stepFor
+	late := float64(s.Since.Sub(s.OrderedAt))/float64(s.Order.Duration) - trialUntil - float64(s.Stage-StageFifth)*stepFor
 	return time.Duration(max(leastStep, stepFor-max(0, late)) * float64(s.Order.Duration))
 }
 
@@ -163,12 +163,12 @@
 // have seen: two rounds of the relays.
 const foundWithin = time.Second
 
-// Settle returns the state once it is known whether those that had seen the target before this
+// ResolveTakeover returns the state once it is known whether those that had seen the target before this
 // holder's term live: it is asked with each decision.
-func (s State) Settle(now time.Time, answers int64) State {
-	if !s.Found.IsZero() && now.Sub(s.Found) >= foundWithin {
-		s.lost = answers < s.Seen
-		s.Found = time.Time{}
+func (s State) ResolveTakeover(now time.Time, answers int64) State {
+	if !s.FoundAt.IsZero() && now.Sub(s.FoundAt) >= foundWithin {
+		s.lost = answers < s.PriorResponses
+		s.FoundAt = time.Time{}
 	}
 	return s
 }
@@ -176,7 +176,7 @@
 // shown tells whether the target has shown enough in this stage, by so many answers seen.
 func (s State) shown(answers int64) bool {
 	switch {
-	case !s.Found.IsZero():
+	case !s.FoundAt.IsZero():
 		return false
 	case s.lost:
 		return answers >= leastAfterLoss
@@ -184,18 +184,18 @@
 	return answers-s.Responses >= leastAnswers
 }
 
-// Go returns the state at the start of another stage, with so many answers seen.
-func (s State) Go(now time.Time, next Stage, answers int64) State {
-	return State{Order: s.Order, Began: s.Began, Stage: next, Since: now, Responses: answers}
+// Advance returns the state at the start of another stage, with so many answers seen.
+func (s State) Advance(now time.Time, next Stage, answers int64) State {
+	return State{Order: s.Order, OrderedAt: s.OrderedAt, Stage: next, Since: now, Responses: answers}
 }
 
-// SeenEvery is how often the holder writes how many answers have been seen.
-const SeenEvery = 2 * time.Second
+// ResponsesWriteInterval is how often the holder writes how many answers have been seen.
+const ResponsesWriteInterval = 2 * time.Second
 
 // full ends the last stage.
 func (s State) full(now time.Time, f Facts) (Stage, Cause) {
 	part := func(x float64) time.Duration { return time.Duration(x * float64(s.Order.Duration)) }
-	late := now.Sub(s.Began) >= part(endBy)
+	late := now.Sub(s.OrderedAt) >= part(endBy)
 	switch {
 	case f.Target == 0:
 		return StageRolledBack, CauseFewUpstream
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -17,7 +17,7 @@
 func assertNext(t *testing.T, from Stage, part float64, f Facts, want Stage, cause Cause) {
 	t.Helper()
 	now := at(time.Duration(part * float64(order.Duration)))
-	s := State{Order: order, Began: start, Stage: from, Since: now.Add(-time.Second)}
+	s := State{Order: order, OrderedAt: start, Stage: from, Since: now.Add(-time.Second)}
 	next, why := s.Next(now, f)
 	assert.Equal(t, want, next, "%v", why)
 	assert.Equal(t, cause, why)
@@ -66,18 +66,18 @@
 	s := State{Order: order, Stage: StageFifth, Responses: 200}
 	assert.False(t, s.shown(219))
 	assert.True(t, s.shown(220))
-	s.Seen, s.Found = 300, start
-	s = s.Settle(at(foundWithin-1), 15)
+	s.PriorResponses, s.FoundAt = 300, start
+	s = s.ResolveTakeover(at(foundWithin-1), 15)
 	assert.False(t, s.shown(500), "who lives isn't known yet")
 	t.Run("where only the holder was lost", func(t *testing.T) {
-		v := s.Settle(at(foundWithin), 310)
+		v := s.ResolveTakeover(at(foundWithin), 310)
 		assert.True(t, v.shown(310))
 	})
 	t.Run("where all were", func(t *testing.T) {
-		v := s.Settle(at(foundWithin), 15).Settle(at(time.Minute), 400)
+		v := s.ResolveTakeover(at(foundWithin), 15).ResolveTakeover(at(time.Minute), 400)
 		assert.False(t, v.shown(79))
 		assert.True(t, v.shown(80))
-		v = v.Go(at(time.Minute), StageTwoFifths, 80)
+		v = v.Advance(at(time.Minute), StageTwoFifths, 80)
 		assert.True(t, v.shown(100), "the next stage begins anew")
 	})
 }
@@ -86,7 +86,7 @@
 // ended stays so.
 func TestStagesOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := State{Order: order, Began: start, Since: start}
+		s := State{Order: order, OrderedAt: start, Since: start}
 		now := start
 		for i := 0; i < 60; i++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -103,27 +103,27 @@
 	t.take(now, s)
 }
 
-// Raise takes in a stage that stands in the store.
-func (t *Trial) Raise(now time.Time, s Stage) {
+// AdvanceTo takes in a stage that stands in the store.
+func (t *Trial) AdvanceTo(now time.Time, s Stage) {
 	if s > t.stage {
 		t.stage, t.since = s, now
 	}
 }
 
-// Hear takes in what is known of this order elsewhere, and tells whether the node stops by it.
+// ApplyUpdate takes in what is known of this order elsewhere, and tells whether the node stops by it.
 // What the word tells of answers is that of all other nodes that it covers.
-func (t *Trial) Hear(now time.Time, w Update) {
+func (t *Trial) ApplyUpdate(now time.Time, w Update) {
 	if w.Order != t.order.Revision {
 		return
 	}
-	t.Raise(now, w.Stage)
+	t.AdvanceTo(now, w.Stage)
 	t.stopped = t.stopped || w.Stopped
 	t.take(now, w.KeepAlive)
 }
 
-// Others sets what all other nodes have seen, and judges anew. It tells whether this made the
+// SetPeerTally sets what all other nodes have seen, and judges anew. It tells whether this made the
 // node stop.
-func (t *Trial) Others(sum Tally) bool {
+func (t *Trial) SetPeerTally(sum Tally) bool {
 	t.others = sum
 	return t.judgeNow()
 }
@@ -148,9 +148,9 @@
 	return !t.signed.IsZero() && now.Sub(t.signed) <= signKeeps
 }
 
-// Offer counts a request that comes to the service, and tells whether it goes to the target
+// TakeCredit counts a request that comes to the service, and tells whether it goes to the target
 // on trial.
-func (t *Trial) Offer(now time.Time, route string) bool {
+func (t *Trial) TakeCredit(now time.Time, route string) bool {
 	s := t.stage.share(t.share)
 	if s == 0 || t.stopped || !t.HasKeepAlive(now) {
 		return false
@@ -168,8 +168,8 @@
 	return true
 }
 
-// Return gives back what was offered and not sent.
-func (t *Trial) Return(route string) { t.credits[route] = min(t.credits[route]+1, 1) }
+// ReturnCredit gives back what was offered and not sent.
+func (t *Trial) ReturnCredit(route string) { t.credits[route] = min(t.credits[route]+1, 1) }
 
 // Side is which upstreams of a service take what isn't offered to the target.
 type Side int
@@ -191,9 +191,9 @@
 	return SideInService
 }
 
-// Trials is how many upstreams of the target take requests on trial, where so many of the
+// TrialUpstreams is how many upstreams of the target take requests on trial, where so many of the
 // version in service do: each is as full as one of these.
-func (t *Trial) Trials(inService int) int {
+func (t *Trial) TrialUpstreams(inService int) int {
 	return max(1, int(t.stage.share(t.share)*float64(inService)+0.5))
 }
 
