--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -234,7 +234,7 @@
 	f := rollout.Facts{
 		Invalid: o.Check() != nil && !v.gone, Withdrawn: v.gone, Responses: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
 	}
-	f.Target, f.Others, f.Running = n.pools.Versions(o.Service, o.Target)
+	f.Target, f.OtherVersions, f.Running = n.pools.Versions(o.Service, o.Target)
 	if !n.listed.Load() {
 		f.Target = 0
 	}
@@ -286,7 +286,7 @@
 	}
 	v.waits = cause
 	r.n.log.Info("rollout_waits", zap.String("service", v.state.Order.Service), zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause),
-		zap.Int64("answers", f.Responses), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
+		zap.Int64("answers", f.Responses), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions))
 }
 
 // rolloutStages is the stage of each service's last roll-out, by its number.
@@ -300,5 +300,5 @@
 	r.n.log.Info("rollout_stage", zap.String("service", o.Service), zap.String("target", o.Target), zap.Int64("order", o.Revision),
 		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.OrderedAt)), zap.Duration("duration", o.Duration),
 		zap.Int64("answers", f.Responses), zap.Int64("failed", failed), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
-		zap.Int("upstreams", f.Target), zap.Int("others", f.Others), zap.Int("running", f.Running), zap.Int64("token", r.token))
+		zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions), zap.Int("running", f.Running), zap.Int64("token", r.token))
 }
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -194,7 +194,7 @@
 	v := t.Verdict()
 	n.log.Warn("rollout_stopped", zap.String("service", t.Order().Service), zap.Int64("order", t.Order().Revision), zap.Stringer("stage", t.Stage()),
 		zap.Stringer("reason", v.Reason), zap.String("route", v.Route), zap.Float64("sum", hundredths(v.Sum)),
-		zap.Float64("target_rate", hundredths(v.Target)), zap.Float64("others_rate", hundredths(v.Others)), zap.String("source", source))
+		zap.Float64("target_rate", hundredths(v.TargetRate)), zap.Float64("others_rate", hundredths(v.InServiceRate)), zap.String("source", source))
 }
 
 // offer tells whether a request goes to a version on trial.
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -256,7 +256,7 @@
 	}
 	answers, _ := n.trial.Total().Responses()
 	f := rollout.Facts{
-		Target: p.l.Target, Others: p.l.InService, Running: p.oldRunning, Responses: answers, Stopped: n.trial.Stopped(), Suspicion: n.trial.Suspicion(), Clear: n.trial.Clear(),
+		Target: p.l.Target, OtherVersions: p.l.InService, Running: p.oldRunning, Responses: answers, Stopped: n.trial.Stopped(), Suspicion: n.trial.Suspicion(), Clear: n.trial.Clear(),
 	}
 	if p.l.Judge != nil {
 		f.Stopped, f.Suspicion, f.Clear = p.l.Judge(n.trial.Total()), 0, true
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -87,8 +87,8 @@
 	Reason Reason  // of the largest sum
 	Route  string  // of the largest sum; empty: all routes
 	Sum    float64 // the largest one, as a part of its bound
-	Target float64 // rate at the target in what was taken in last
-	Others float64 // rate at the version in service
+	TargetRate float64 // rate at the target in what was taken in last
+	InServiceRate float64 // rate at the version in service
 }
 
 // Judge takes in growing tallies. Its zero value has seen nothing.
@@ -330,7 +330,7 @@
 		s.without[g] = math.Max(0, s.without[g]+gained-x[g])
 		s.clear[g] = math.Max(clearLeast, s.clear[g]+gained-x[g])
 	}
-	return Verdict{Bad: s.part() >= 1, Sum: s.part(), Target: bad / math.Max(1, all), Others: o.good}
+	return Verdict{Bad: s.part() >= 1, Sum: s.part(), TargetRate: bad / math.Max(1, all), InServiceRate: o.good}
 }
 
 // isClear tells whether the newest answers, or those without some group, speak for the target.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -94,7 +94,7 @@
 	Invalid   bool
 	Withdrawn bool
 	Target    int   // upstreams of the target that take requests
-	Others    int   // of other versions
+	OtherVersions    int   // of other versions
 	Running   int   // requests at upstreams of other versions
 	Responses   int64 // of the target, seen by the processes that live
 	Stopped   bool
@@ -136,7 +136,7 @@
 // begin leaves the waiting stage.
 func (s State) begin(f Facts) (Stage, Cause) {
 	switch {
-	case f.Target > 0 && f.Others == 0:
+	case f.Target > 0 && f.OtherVersions == 0:
 		return StageCompleted, CauseNothingOld
 	case f.Target == 0:
 		return StageWaiting, CauseFewUpstream
@@ -153,7 +153,7 @@
 		return s.Stage, CauseSuspected
 	case !s.shown(f.Responses):
 		return s.Stage, CauseFewAnswers
-	case float64(f.Target) < leastUpstreams*float64(f.Others):
+	case float64(f.Target) < leastUpstreams*float64(f.OtherVersions):
 		return s.Stage, CauseFewUpstream
 	}
 	return s.Stage + 1, CauseObserved
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -10,7 +10,7 @@
 
 // well is what a holder knows when nothing speaks against the target.
 func well(answers int64) Facts {
-	return Facts{Target: 10, Others: 10, Running: 5, Responses: answers, Clear: true}
+	return Facts{Target: 10, OtherVersions: 10, Running: 5, Responses: answers, Clear: true}
 }
 
 // assertNext checks what follows a stage at a moment, if the stage began long enough ago.
@@ -39,7 +39,7 @@
 	}{
 		{"begins", StageWaiting, 0.01, well(0), StageTrial, CauseOrdered},
 		{"waits for upstreams of the target", StageWaiting, 0.1, change(func(v *Facts) { v.Target = 0 }), StageWaiting, CauseFewUpstream},
-		{"has nothing to move", StageWaiting, 0.1, change(func(v *Facts) { v.Others = 0 }), StageCompleted, CauseNothingOld},
+		{"has nothing to move", StageWaiting, 0.1, change(func(v *Facts) { v.OtherVersions = 0 }), StageCompleted, CauseNothingOld},
 		{"stays on trial", StageTrial, 0.6, well(100), StageTrial, CauseNone},
 		{"goes on", StageTrial, 0.63, well(100), StageFifth, CauseObserved},
 		{"waits under suspicion", StageTrial, 0.63, change(func(v *Facts) { v.Suspicion = 0.7 }), StageTrial, CauseSuspected},
@@ -91,7 +91,7 @@
 		for i := 0; i < 60; i++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			f := Facts{
-				Target: rapid.IntRange(0, 12).Draw(t, "target"), Others: rapid.IntRange(0, 12).Draw(t, "others"), Running: rapid.IntRange(0, 2).Draw(t, "running"),
+				Target: rapid.IntRange(0, 12).Draw(t, "target"), OtherVersions: rapid.IntRange(0, 12).Draw(t, "others"), Running: rapid.IntRange(0, 2).Draw(t, "running"),
 				Responses: int64(rapid.IntRange(0, 100).Draw(t, "answers")), Stopped: rapid.IntRange(0, 30).Draw(t, "stopped") == 0,
 				Suspicion: rapid.Float64Range(0, 0.9).Draw(t, "suspicion"), Clear: rapid.Bool().Draw(t, "clear"),
 			}
