--- a/internal/claim/attempt.go
+++ b/internal/claim/attempt.go
@@ -1,36 +1,37 @@
 package claim
 
-// This file is the life of one attempt at a key: begun, written or promised, run or dead.
+// This file handles the states of one attempt at a key: started, written or promised, running or aborted.
 
-// Begin tries a key. promises says whether it may run while the platform is out.
-func (m *Machine) Begin(key uint64, id string, promises bool) []Action {
-	refuse := func(r Reason) []Action {
-		return []Action{{Kind: ActionRefuse, Key: key, Attempt: id, Reason: r}}
+// StartAttempt starts an attempt at a key. promises says whether it may run on the promises of other
+// members while the platform is unavailable.
+func (m *Machine) StartAttempt(key uint64, id string, promises bool) []Action {
+	reject := func(r Reason) []Action {
+		return []Action{{Kind: ActionReject, Key: key, Attempt: id, Reason: r}}
 	}
 	if m.stopped {
-		return refuse(ReasonStopped)
+		return reject(ReasonStopped)
 	}
 	if !m.synced && m.guards.syncedFirst {
-		return refuse(ReasonUnsynced)
+		return reject(ReasonUnsynced)
 	}
 	if _, ok := m.Known(key); ok {
-		return refuse(ReasonKnown)
+		return reject(ReasonKnown)
 	}
-	a := &attempt{key: key, promises: promises}
+	a := &attempt{key: key, allowPromises: promises}
 	m.attempts[id] = a
 	if m.guards.markFirst {
 		m.mark(key, id)
 	}
-	if m.up {
-		a.phase, a.written = phaseWriting, true
+	if m.platformUp {
+		a.phase, a.writeIssued = phaseWriting, true
 		return []Action{{Kind: ActionWrite, Key: key, Attempt: id}}
 	}
-	return m.ask(id)
+	return m.requestPromises(id)
 }
 
-// Wrote says how the write that ActionWrite asked for has ended.
-// revision is that of the write, if it was granted.
-func (m *Machine) Wrote(id string, w WriteResult, revision int64) []Action {
+// HandleWriteResult takes the result of the write that ActionWrite asked for. revision is that of the
+// write if it was granted.
+func (m *Machine) HandleWriteResult(id string, w WriteResult, revision int64) []Action {
 	a := m.attempts[id]
 	if a == nil || a.phase != phaseWriting {
 		return nil
@@ -38,16 +39,16 @@
 	switch w {
 	case WriteGranted:
 		if h := m.claims[a.key]; revision > h.revision {
-			m.claims[a.key] = held{attempt: id, revision: revision, own: true}
+			m.claims[a.key] = storedClaim{attempt: id, revision: revision, own: true}
 		}
 		m.unmark(a.key, id)
 		return m.run(id)
-	case WriteRefused:
-		a.written = false
-		// Somebody holds the key; the watch tells who, and for how long.
-		return m.kill(id, ReasonKnown)
+	case WriteRejected:
+		a.writeIssued = false
+		// Another attempt holds the key; the watch tells which one, and for how long.
+		return m.abort(id, ReasonKnown)
 	}
-	return m.ask(id)
+	return m.requestPromises(id)
 }
 
 func (m *Machine) run(id string) []Action {
@@ -56,19 +57,19 @@
 	return []Action{{Kind: ActionRun, Key: a.key, Attempt: id}}
 }
 
-// ask goes on by promises, if the call allows it.
-func (m *Machine) ask(id string) []Action {
+// requestPromises continues an attempt by asking the other members for promises, if the call allows that.
+func (m *Machine) requestPromises(id string) []Action {
 	a := m.attempts[id]
-	if !a.promises {
-		return m.kill(id, ReasonPlatform)
+	if !a.allowPromises {
+		return m.abort(id, ReasonPlatformDown)
 	}
-	// A node alone in its view never runs: if the VM list wrongly drops it, a
-	// joiner could not learn of the run from anybody.
-	if len(m.view) < 2 && m.guards.notAlone {
-		return m.kill(id, ReasonHalls)
+	// An isolated node never runs an attempt: if the VM list wrongly drops the node, no other member can
+	// tell a joiner of the run.
+	if len(m.view) < 2 && m.guards.notIsolated {
+		return m.abort(id, ReasonIsolated)
 	}
-	if len(m.halls) > 1 && !m.twoHalls() {
-		return m.kill(id, ReasonHalls)
+	if len(m.halls) > 1 && !m.viewSpansHalls() {
+		return m.abort(id, ReasonIsolated)
 	}
 	a.phase = phaseAsking
 	a.waiting = make(map[string]bool)
@@ -83,13 +84,13 @@
 		r = append(r, m.send(Message{Kind: MessageAsk, To: peer, Key: a.key, Attempt: id, View: view}))
 	}
 	if len(a.waiting) == 0 {
-		a.promised = true
+		a.runsByPromise = true
 		return m.run(id)
 	}
 	return r
 }
 
-func (m *Machine) twoHalls() bool {
+func (m *Machine) viewSpansHalls() bool {
 	own := m.view[m.id]
 	for _, h := range m.view {
 		if h != own {
@@ -99,15 +100,15 @@
 	return false
 }
 
-// kill ends a try that hasn't run. It never runs afterwards.
-func (m *Machine) kill(id string, why Reason) []Action {
+// abort ends an attempt that has not run. It never runs afterwards.
+func (m *Machine) abort(id string, why Reason) []Action {
 	a := m.attempts[id]
-	a.phase = phaseDead
+	a.phase = phaseAborted
 	m.unmark(a.key, id)
-	r := []Action{{Kind: ActionRefuse, Key: a.key, Attempt: id, Reason: why}}
-	if a.written {
-		// The claim may be there, or come yet: the caller is told not-run and will try
-		// again, and must not find its own dead attempt in the way.
+	r := []Action{{Kind: ActionReject, Key: a.key, Attempt: id, Reason: why}}
+	if a.writeIssued {
+		// The claim may be stored already, or be stored later. The caller is told that the call has not
+		// run and will retry it, and the claim of its aborted attempt must not block the retry.
 		r = append(r, Action{Kind: ActionErase, Key: a.key, Attempt: id})
 	}
 	for _, p := range a.asked {
@@ -116,33 +117,33 @@
 	return r
 }
 
-// Abandon gives up a try that has waited too long.
+// Abandon ends an attempt that has waited too long for its permission.
 func (m *Machine) Abandon(id string) []Action {
 	a := m.attempts[id]
-	if a == nil || a.phase == phaseRunning || a.phase == phaseDead {
+	if a == nil || a.phase == phaseRunning || a.phase == phaseAborted {
 		return nil
 	}
-	return m.kill(id, ReasonSilent)
+	return m.abort(id, ReasonTimeout)
 }
 
-// GiveUp is Abandon for an owner that stops waiting: an attempt that got its permission
-// meanwhile gives it back, since nobody will use it.
-func (m *Machine) GiveUp(id string) []Action {
+// Cancel ends an attempt whose owner stops waiting. Unlike Abandon it also returns a permission that was
+// granted in the meantime, since it will not be used.
+func (m *Machine) Cancel(id string) []Action {
 	if a := m.attempts[id]; a != nil && a.phase == phaseRunning {
 		return m.Finish(id, false)
 	}
 	return m.Abandon(id)
 }
 
-// Finish ends an attempt that was allowed to run. If it ran, or may have, its key
-// stays known. If it certainly didn't and never will, the key is free again.
+// Finish ends an attempt that was allowed to run. If the call ran, or may have run, its key stays known.
+// If it certainly did not run and never will, the key is free again.
 func (m *Machine) Finish(id string, ran bool) []Action {
 	a := m.attempts[id]
 	if a == nil || a.phase != phaseRunning {
 		return nil
 	}
 	if ran {
-		if !a.promised {
+		if !a.runsByPromise {
 			delete(m.attempts, id)
 		}
 		return nil
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -16,9 +16,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// This file carries out what the machine asks for: it writes claims in batches,
-// reads back writes that got no answer, follows the watch, and sends messages to
-// peers through a function that the owner gives it.
+// This file executes the machine's actions: it writes claims in batches, reads back writes whose outcome
+// is unknown, follows the watch, and sends messages to peers through a function in Options.
 
 const (
 	prefix       = "/spurhall/agreed/"
@@ -28,10 +27,10 @@
 
 var errs = errorx.NewNamespace("claim")
 
-// ErrNotMember says that this node has no member record yet.
+// ErrNotMember says that the store holds no member record of this node yet.
 var ErrNotMember = errs.NewType("not_member").New("this node is not yet a member")
 
-// Member is a member record.
+// Member is the stored record of a member.
 type Member struct {
 	ID      string `json:"id"`
 	Hall    string `json:"hall"`
@@ -39,7 +38,7 @@
 	VM      string `json:"vm"`
 }
 
-// Record is a claim's value. Outcome is empty until the call has ended.
+// Record is the stored value of a claim. Outcome is empty until the call has ended.
 type Record struct {
 	Attempt string              `json:"attempt"`
 	Outcome string              `json:"outcome,omitempty"`
@@ -48,37 +47,38 @@
 	Body    []byte              `json:"body,omitempty"`
 }
 
-// Options sets a book. The functions are its way to the outside.
+// Options configures a Manager. The functions are its access to the platform and to peers.
 type Options struct {
 	Member Member
 	KV     store.KV
-	Up     func() bool // whether the platform answered lately
-	PeerUp func() bool // whether a peer says so of itself
+	Up     func() bool // whether the platform responded recently
+	PeerUp func() bool // whether a peer reports that the platform responds to it
 	Clock  *timer.Service
 	Send   func(ctx context.Context, m Member, g Message) (*Message, error)
+	// ProxyWrite asks peers that reach the platform to write a claim.
 	ProxyWrite func(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64)
-	// ProxyErase asks peers to erase a claim, and tells whether it is gone.
+	// ProxyErase asks peers to erase a claim, and returns whether it is gone.
 	ProxyErase func(ctx context.Context, key uint64, attempt string) bool
-	Event       func(name, detail string)
-	Interval    time.Duration // of the group commit
-	Timeout     time.Duration // for a promise
+	Event      func(name, detail string)
+	Interval   time.Duration // of the group commit
+	Timeout    time.Duration // for a promise
 }
 
-// Manager is one node's claims. It is safe for concurrent use.
+// Manager holds one node's part of the claims. It is safe for concurrent use.
 type Manager struct {
-	o       Options
-	mu      sync.Mutex
-	machine *Machine
-	members map[string]Member
-	created int64 // create revision of the own record
-	own     bool  // the own watch is up
-	waiting map[string]chan Action
-	life    map[string]time.Duration // lifetime asked for, by attempt
-	writes  chan pendingWrite
-	leases  map[time.Duration]claimLease
-	ctx     context.Context
-	marked  map[uint64]time.Time // since when a key is marked here
-	longest time.Duration        // lifetime asked for so far
+	o           Options
+	mu          sync.Mutex
+	machine     *Machine
+	members     map[string]Member
+	created     int64 // create revision of this node's member record
+	watchUp     bool  // whether this node's watch is connected
+	waiters     map[string]chan Action
+	lifetimes   map[string]time.Duration // requested lifetime, by attempt
+	writes      chan pendingWrite
+	leases      map[time.Duration]claimLease
+	ctx         context.Context
+	markedSince map[uint64]time.Time // when a key was first seen marked on this node
+	maxLifetime time.Duration        // longest lifetime requested so far
 }
 
 type pendingWrite struct {
@@ -93,29 +93,29 @@
 	until time.Time
 }
 
-// queueLimit bounds the writes that wait for the next group commit. When it is
-// full a claim is refused: the platform can't take more, and waiting won't help.
+// queueLimit bounds the writes that wait for the next group commit. When the queue is full a claim is
+// rejected: the platform cannot take more writes, and waiting would not help.
 const queueLimit = 1024
 
-// NewManager returns a book. Run has to be called for it to do anything.
+// NewManager returns a manager. It does nothing until Run is called.
 func NewManager(o Options) *Manager {
 	return &Manager{
 		o: o, machine: New(o.Member.ID), members: make(map[string]Member),
-		waiting: make(map[string]chan Action), life: make(map[string]time.Duration),
+		waiters: make(map[string]chan Action), lifetimes: make(map[string]time.Duration),
 		writes: make(chan pendingWrite, queueLimit), leases: make(map[time.Duration]claimLease),
-		marked: make(map[uint64]time.Time), longest: recordLifetime,
+		markedSince: make(map[uint64]time.Time), maxLifetime: recordLifetime,
 	}
 }
 
-// HashKey returns the form in which a workspace's key is claimed. A collision of
-// two keys only refuses the second.
+// HashKey returns the hash under which a workspace's key is claimed. If two keys collide, the claim of the
+// second is rejected, which is safe.
 func HashKey(workspace, service, key string) uint64 {
 	return xxhash.Sum64String(workspace + "\x00" + service + "\x00" + key)
 }
 
 func claimKey(k uint64) string { return fmt.Sprintf("%s%016x", claimPrefix, k) }
 
-// Run joins, follows the watch and writes claims until the context ends.
+// Run joins the members, follows the watch and writes claims until the context ends.
 func (b *Manager) Run(ctx context.Context) {
 	b.mu.Lock()
 	b.ctx = ctx
@@ -131,17 +131,17 @@
 		if b.setPlatform(false) {
 			b.o.Event("claims_watch_broken", err.Error())
 		}
-		_ = b.o.Clock.Sleep(ctx, followAgain)
+		_ = b.o.Clock.Sleep(ctx, followRetryDelay)
 	}
 }
 
 const (
-	followAgain = 300 * time.Millisecond
-	syncAgain   = 500 * time.Millisecond
+	followRetryDelay = 300 * time.Millisecond
+	syncInterval     = 500 * time.Millisecond
 )
 
-// follow joins if that is still to do, reads members and claims at one revision
-// and follows them from there.
+// follow joins the members if this node has not joined yet, reads members and claims at one revision and
+// follows their changes from there.
 func (b *Manager) follow(ctx context.Context) error {
 	if err := b.join(ctx); err != nil {
 		return err
@@ -150,24 +150,23 @@
 	if err != nil {
 		return err
 	}
-	b.load(r)
+	b.applySnapshot(r)
 	b.setPlatform(true)
 	return b.o.KV.Watch(ctx, store.Under(prefix, r.Revision+1), func(w store.WatchBatch) error {
 		b.setPlatform(true)
 		var list []Change
 		for _, e := range w.Events {
-			if c, ok := b.change(e.Pair, e.Deleted); ok {
+			if c, ok := b.parseChange(e.Pair, e.Deleted); ok {
 				list = append(list, c)
 			}
 		}
-		b.do(func(m *Machine) []Action { return m.Watch(list) })
+		b.do(func(m *Machine) []Action { return m.ApplyChanges(list) })
 		return nil
 	})
 }
 
-// join writes the member record. Records of earlier processes on the same peer
-// address go in the same transaction: two processes can't hold one address, so
-// they are dead.
+// join writes the member record. The same transaction deletes records of earlier processes on the same
+// peer address: two processes cannot hold one address, so the earlier ones have ended.
 func (b *Manager) join(ctx context.Context) error {
 	b.mu.Lock()
 	joined := b.created != 0
@@ -195,7 +194,7 @@
 	if err != nil && !errors.Is(err, store.ErrUnknown) {
 		return err
 	}
-	r, err = b.o.KV.Range(ctx, key, "") // settles a lost answer, too
+	r, err = b.o.KV.Range(ctx, key, "") // also resolves a transaction whose outcome is unknown
 	if err != nil {
 		return err
 	}
@@ -208,13 +207,13 @@
 	return nil
 }
 
-// load takes in a whole read: the first one joins the machine, a later one (after
-// the watch broke) is turned into the changes that were missed.
-func (b *Manager) load(r store.RangeResult) {
+// applySnapshot applies a read of all members and claims. The first one joins the machine; a later one
+// (after the watch broke) is turned into the changes that the watch missed.
+func (b *Manager) applySnapshot(r store.RangeResult) {
 	var list []Change
 	seen := make(map[string]bool)
 	for _, p := range r.Pairs {
-		if c, ok := b.change(p, false); ok {
+		if c, ok := b.parseChange(p, false); ok {
 			list = append(list, c)
 			seen[c.Member] = true
 		}
@@ -228,11 +227,11 @@
 				list = append(list, Change{Member: id, Deleted: true, Revision: r.Revision})
 			}
 		}
-		return append(m.Watch(list), m.DropClaims(list, r.Revision)...)
+		return append(m.ApplyChanges(list), m.DropClaims(list, r.Revision)...)
 	})
 }
 
-func (b *Manager) change(p store.Pair, deleted bool) (Change, bool) {
+func (b *Manager) parseChange(p store.Pair, deleted bool) (Change, bool) {
 	if id, ok := strings.CutPrefix(p.Key, memberPrefix); ok {
 		c := Change{Member: id, Deleted: deleted, Revision: p.Modified}
 		var m Member
@@ -259,27 +258,27 @@
 	return c, true
 }
 
-// setPlatform notes whether the own watch is up, and tells whether that is news.
+// setPlatform records whether this node's watch is connected, and returns whether that changed.
 func (b *Manager) setPlatform(up bool) bool {
 	b.mu.Lock()
-	news := b.own != up
-	b.own = up
+	changed := b.watchUp != up
+	b.watchUp = up
 	b.mu.Unlock()
 	b.refreshPlatform()
-	return news
+	return changed
 }
 
-// refreshPlatform tells the machine whether claims can be written, by this node or
-// by a peer for it.
+// refreshPlatform updates the machine's view of whether claims can be written, by this node or by a peer
+// on its behalf.
 func (b *Manager) refreshPlatform() {
 	peer := b.o.PeerUp != nil && b.o.PeerUp()
 	b.mu.Lock()
-	up := b.own || peer
+	up := b.watchUp || peer
 	b.mu.Unlock()
 	b.do(func(m *Machine) []Action { return m.SetPlatform(up) })
 }
 
-// do lets the machine take one step and carries out what it asks for.
+// do runs one step of the machine and executes the actions that it returns.
 func (b *Manager) do(step func(m *Machine) []Action) {
 	b.mu.Lock()
 	before := b.machine.Synced()
@@ -290,11 +289,11 @@
 		b.o.Event("claims_synced", fmt.Sprintf("synced=%v", after))
 	}
 	for _, a := range list {
-		b.carryOut(a)
+		b.execute(a)
 	}
 }
 
-func (b *Manager) carryOut(a Action) {
+func (b *Manager) execute(a Action) {
 	switch a.Kind {
 	case ActionSend:
 		go b.send(a.Message)
@@ -304,14 +303,14 @@
 		b.enqueue(pendingWrite{key: a.Key, attempt: a.Attempt, lifetime: recordLifetime, result: func(WriteResult, int64) {}})
 	case ActionErase:
 		go b.erase(a)
-	case ActionRun, ActionRefuse:
-		if a.Kind == ActionRefuse {
+	case ActionRun, ActionReject:
+		if a.Kind == ActionReject {
 			b.o.Event("claim_refused", fmt.Sprintf("key %016x, attempt %s: %s", a.Key, a.Attempt, a.Reason))
 		}
 		b.mu.Lock()
-		c := b.waiting[a.Attempt]
-		delete(b.waiting, a.Attempt)
-		delete(b.life, a.Attempt)
+		c := b.waiters[a.Attempt]
+		delete(b.waiters, a.Attempt)
+		delete(b.lifetimes, a.Attempt)
 		b.mu.Unlock()
 		if c != nil {
 			c <- a
@@ -319,15 +318,15 @@
 	}
 }
 
-// recordLifetime is how long a promise of another node's is kept as a claim.
+// recordLifetime is how long a claim is kept that records a promise made to another node.
 const recordLifetime = 24 * time.Hour
 
 func (b *Manager) write(a Action) {
 	b.mu.Lock()
-	d := b.life[a.Attempt]
+	d := b.lifetimes[a.Attempt]
 	b.mu.Unlock()
 	b.enqueue(pendingWrite{key: a.Key, attempt: a.Attempt, lifetime: d, result: func(w WriteResult, revision int64) {
-		b.do(func(m *Machine) []Action { return m.Wrote(a.Attempt, w, revision) })
+		b.do(func(m *Machine) []Action { return m.HandleWriteResult(a.Attempt, w, revision) })
 	}})
 }
 
@@ -339,53 +338,53 @@
 	}
 }
 
-// A release that gets lost leaves a key marked at the peer, so it is repeated.
+// A lost release leaves a key marked at the peer, so a release is repeated.
 const (
-	releaseTries = 5
-	releaseAgain = 500 * time.Millisecond
+	releaseAttempts   = 5
+	releaseRetryDelay = 500 * time.Millisecond
 )
 
 func (b *Manager) syncLoop(ctx context.Context) {
-	b.o.Clock.Every(ctx, syncAgain, func(time.Time) {
-		b.do(func(m *Machine) []Action { return m.SyncAgain() })
+	b.o.Clock.Every(ctx, syncInterval, func(time.Time) {
+		b.do(func(m *Machine) []Action { return m.RetrySync() })
 	})
 }
 
-// Grant is the answer to Claim.
+// Grant is the result of Claim.
 type Grant struct {
 	Granted bool
 	Reason  Reason
 }
 
-// Claim asks for the permission to run a key. A granted claim has to be ended with
-// Finish.
+// Claim asks for the permission to run a key. A granted claim has to be ended with Finish.
 func (b *Manager) Claim(ctx context.Context, key uint64, attempt string, lifetime time.Duration, promises bool) Grant {
 	c := make(chan Action, 1)
 	b.mu.Lock()
-	b.waiting[attempt] = c
-	b.life[attempt] = lifetime
-	b.longest = max(b.longest, lifetime)
+	b.waiters[attempt] = c
+	b.lifetimes[attempt] = lifetime
+	b.maxLifetime = max(b.maxLifetime, lifetime)
 	b.mu.Unlock()
 	b.refreshPlatform()
-	b.do(func(m *Machine) []Action { return m.Begin(key, attempt, promises) })
+	b.do(func(m *Machine) []Action { return m.StartAttempt(key, attempt, promises) })
 	select {
 	case a := <-c:
 		return Grant{Granted: a.Kind == ActionRun, Reason: a.Reason}
 	case <-ctx.Done():
 	}
-	// Both at once under the lock: a permission given after this look would otherwise
-	// be held by nobody, and its key be taken for good.
-	b.do(func(m *Machine) []Action { return m.GiveUp(attempt) })
+	// Cancel handles an attempt that waits and one that was just allowed to run in one step under the
+	// lock: a permission granted after a separate check would never be used or ended, and the key
+	// would stay taken for good.
+	b.do(func(m *Machine) []Action { return m.Cancel(attempt) })
 	b.mu.Lock()
-	delete(b.waiting, attempt)
-	delete(b.life, attempt)
+	delete(b.waiters, attempt)
+	delete(b.lifetimes, attempt)
 	b.mu.Unlock()
-	return Grant{Reason: ReasonSilent}
+	return Grant{Reason: ReasonTimeout}
 }
 
-// Finish ends a granted claim. ran is false only if the call certainly did not run
-// and never will. The answer, if any, is recorded for later callers of the key.
-func (b *Manager) Finish(attempt string, ran bool, answer *Record) {
+// Finish ends a granted claim. ran is false only if the call certainly did not run and never will. The
+// response, if there is one, is recorded for later callers of the key.
+func (b *Manager) Finish(attempt string, ran bool, response *Record) {
 	var key uint64
 	b.do(func(m *Machine) []Action {
 		if a := m.attempts[attempt]; a != nil {
@@ -393,12 +392,12 @@
 		}
 		return m.Finish(attempt, ran)
 	})
-	if ran && answer != nil {
-		go b.record(key, *answer)
+	if ran && response != nil {
+		go b.storeRecord(key, *response)
 	}
 }
 
-// Synced tells whether this node may claim.
+// Synced returns whether this node may claim keys.
 func (b *Manager) Synced() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -416,8 +415,8 @@
 	return r
 }
 
-// Leave stops claiming for good, tells every member, and deletes the own record
-// once the promises held are recorded.
+// Leave stops claiming for good, announces that to every member, and deletes this node's member record
+// once the promises that it holds are recorded.
 func (b *Manager) Leave(ctx context.Context) {
 	b.mu.Lock()
 	list := b.machine.Leave()
@@ -434,7 +433,7 @@
 			w, _ := b.writeOne(ctx, a.Key, a.Attempt, recordLifetime)
 			ok = ok && w != WriteUnknown
 		default:
-			b.carryOut(a)
+			b.execute(a)
 		}
 	}
 	wait.Wait()
@@ -443,7 +442,7 @@
 	}
 }
 
-// Retire deletes the record of a member whose VM, having been listed, is gone.
+// Retire deletes the record of a member whose VM was listed before and has disappeared from the list.
 func (b *Manager) Retire(ctx context.Context, id string) error {
 	_, err := b.o.KV.Txn(ctx, store.Txn{Then: []store.Op{{Kind: store.OpDelete, Key: memberPrefix + id}}})
 	return err
--- a/internal/claim/deliver.go
+++ b/internal/claim/deliver.go
@@ -4,10 +4,10 @@
 	"context"
 )
 
-// This file carries the machine's messages between nodes.
+// This file sends the machine's messages to other nodes.
 
-// send delivers one message and feeds the reply back. A member that can't be
-// reached blocks a promise, so the try ends at once.
+// send delivers one message and passes the reply to the machine. A member that cannot be reached blocks a
+// promise, so the attempt ends at once.
 func (b *Manager) send(g Message) {
 	b.mu.Lock()
 	m, ok := b.members[g.To]
@@ -17,8 +17,8 @@
 		return
 	}
 	reply, err := b.deliver(parent, m, g)
-	for try := 0; err != nil && g.Kind == MessageRelease && try < releaseTries; try++ {
-		_ = b.o.Clock.Sleep(parent, releaseAgain)
+	for n := 0; err != nil && g.Kind == MessageRelease && n < releaseAttempts; n++ {
+		_ = b.o.Clock.Sleep(parent, releaseRetryDelay)
 		reply, err = b.deliver(parent, m, g)
 	}
 	if err != nil {
@@ -38,7 +38,7 @@
 	return b.o.Send(ctx, m, g)
 }
 
-// Receive takes a peer's message and returns the reply, if there is one for it.
+// Receive handles a peer's message and returns the reply to that peer, if there is one.
 func (b *Manager) Receive(g Message) *Message {
 	var reply *Message
 	b.do(func(m *Machine) []Action {
--- a/internal/claim/expire.go
+++ b/internal/claim/expire.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// This file drops the claims whose lifetime is over.
+// This file drops marks whose lifetime is over.
 
-const expireEvery = time.Minute
+const expireInterval = time.Minute
 
-// expireLoop forgets marks that have outlived every key's lifetime. Most go long before,
-// by a release or by turning into claims; this is for those whose release was lost.
+// expireLoop drops marks that are older than the longest lifetime of any key. Most marks are removed long
+// before, by a release or by becoming claims; the loop removes those whose release was lost.
 func (b *Manager) expireLoop(ctx context.Context) {
-	b.o.Clock.Every(ctx, expireEvery, b.expire)
+	b.o.Clock.Every(ctx, expireInterval, b.expire)
 }
 
 func (b *Manager) expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	old := b.marked
-	b.marked = make(map[uint64]time.Time)
+	old := b.markedSince
+	b.markedSince = make(map[uint64]time.Time)
 	for _, k := range b.machine.Marked() {
 		since, ok := old[k]
 		if !ok {
 			since = now
 		}
-		if now.Sub(since) > b.longest {
+		if now.Sub(since) > b.maxLifetime {
 			b.machine.Forget(k)
 			continue
 		}
-		b.marked[k] = since
+		b.markedSince[k] = since
 	}
 }
--- a/internal/claim/machine.go
+++ b/internal/claim/machine.go
@@ -1,16 +1,15 @@
-// Package claim lets a call that may not be repeated run at most once per key,
-// whichever nodes its caller retries through, and whether or not the platform
-// answers.
+// Package claim lets a call that must not be repeated run at most once per key, whichever nodes its caller
+// retries through, and whether or not the platform is available.
 //
-// This file is the protocol as a pure state machine: events in, actions out, no
-// clock and no I/O. book.go carries the actions out.
+// This file is the protocol as a pure state machine: events in, actions out, no clock and no I/O.
+// manager.go executes the actions.
 //
-// With the platform, a claim is one compare-and-swap: the key must be absent and
-// the claimant's own member record present. A claim outlives its holder, so a
-// holder that is paused or dead can't lead to a second run.
+// With the platform, a claim is one compare-and-swap: the key must be absent and the claimant's own member
+// record present. A claim outlives its holder, so a holder that is paused or has crashed cannot lead to a
+// second run.
 //
-// Without the platform, the claimant asks every member that it knows of for a
-// promise, and runs only when all have promised:
+// Without the platform, the claimant asks every member that it knows of for a promise, and runs only when
+// all have promised:
 //
 //	A                B                C
 //	mark k
@@ -20,60 +19,60 @@
 //	       <------------------------- grant
 //	run
 //
-// Two nodes that try the same key at once refuse each other, and neither runs:
-// that is the price of needing no leader. Majorities were refused, since they
-// would be a consensus group; so were leased ranges of keys, since a paused owner
-// would run its keys beside the next owner.
+// Two nodes that attempt the same key at once reject each other, and neither runs: that is the price of
+// needing no leader. Alternatives considered: majorities, rejected since they would make the nodes a
+// consensus group, and leased ranges of keys, rejected since a paused owner would run its keys beside the
+// next owner.
 //
-// Why at most one run per key holds: members and claims are followed in one
-// ordered watch. Say A and B both run k. Not both by claim, by compare-and-swap.
-// Say A by promises. If B was in A's view, B promised, so it knew k before its own
-// try or refused A because of it. If B wasn't, either B joined later and A, which
-// is listed, gave B its table before B was allowed to try; or A had seen B's
-// removal, which comes after all of B's claims in the order of the watch, so A
-// knew k. machine_test.go searches for the counterexample, and shows that it finds
-// one as soon as any single guard is taken out.
+// Why there is at most one run per key: members and claims are followed in one ordered watch. Suppose A and
+// B both run k. They cannot both do so by a claim, because of the compare-and-swap. So suppose A runs by
+// promises. If B was in A's view, B promised, so either B knew k before its own attempt, or B denied the
+// promise to A because of that attempt. If B was not in A's view, there are two cases. Either B joined later
+// and A, which is listed, gave B its table before B was allowed to start an attempt. Or A had seen B's
+// removal, which follows all of B's claims in the order of the watch, so A knew k. machine_test.go searches
+// for a counterexample, and shows that it finds one as soon as any single guard is removed.
 package claim
 
 import "sort"
 
-// The messages.
+// The kinds of messages between nodes. The numbers are sent to other nodes.
 const (
-	MessageAsk     MessageKind = 1 // promise me this key
+	MessageAsk     MessageKind = 1 // asks for a promise of a key
 	MessageGrant   MessageKind = 2
 	MessageDeny    MessageKind = 3
-	MessageRelease MessageKind = 4 // the attempt is dead, forget its mark
-	MessageSync    MessageKind = 5 // a joiner asks for the table
+	MessageRelease MessageKind = 4 // the attempt has ended without a run: its mark can be removed
+	MessageSync    MessageKind = 5 // a joiner asks for the table of marks
 	MessageTable   MessageKind = 6
 	MessageLeave   MessageKind = 7 // the sender has stopped for good
 )
 
-// The reasons.
+// The reasons of rejections. The numbers are sent to other nodes.
 const (
-	ReasonNone     Reason = iota
-	ReasonKnown           // the key was claimed, promised or is being tried
-	ReasonView            // asker and peer don't have the same members in view
-	ReasonUnsynced        // this node hasn't yet synced with every listed member
-	ReasonStopped         // this node is leaving
-	ReasonSilent          // a member didn't answer in time
-	ReasonPlatform        // the platform is out and the call doesn't allow promises
-	ReasonHalls           // nobody else, or nobody in a second hall, can promise
+	ReasonNone         Reason = iota
+	ReasonKnown               // the key is claimed, promised or being attempted
+	ReasonViewMismatch        // the asker and its peer do not have the same members in view
+	ReasonUnsynced            // this node has not synced with every listed member yet
+	ReasonStopped             // this node is leaving
+	ReasonTimeout             // a member did not respond in time
+	ReasonPlatformDown        // the platform is unavailable and the call does not allow promises
+	ReasonIsolated            // no other member, or none in a second hall, can promise
 )
 
-// The actions.
+// The kinds of actions.
 const (
 	ActionSend   ActionKind = iota // send Message
-	ActionWrite                    // write the claim, then call Wrote
+	ActionWrite                    // write the claim, then call HandleWriteResult
 	ActionRun                      // the attempt may run, now or later
-	ActionRefuse                   // the attempt is dead: not run
-	ActionRecord                   // write a promised key as a claim, no answer needed
+	ActionReject                   // the attempt has ended without a run
+	ActionRecord                   // write a promised key as a claim; the result is not needed
 	ActionErase                    // delete the claim if this attempt holds it
 )
 
-// The results. WriteUnknown: no answer, and it couldn't be read back.
+// The results of a write. WriteUnknown: there was no response, and the claim could not be read back. The
+// numbers are sent to other nodes.
 const (
 	WriteGranted WriteResult = iota
-	WriteRefused
+	WriteRejected
 	WriteUnknown
 )
 
@@ -81,22 +80,22 @@
 	phaseWriting phase = iota
 	phaseAsking
 	phaseRunning
-	phaseDead
+	phaseAborted
 )
 
 func allGuards() guards {
 	return guards{
-		peerKnows: true, markFirst: true, sameView: true,
-		syncedFirst: true, deadStays: true, askAll: true, notAlone: true,
+		rejectKnown: true, markFirst: true, sameView: true,
+		syncedFirst: true, abortFinal: true, allPromise: true, notIsolated: true,
 	}
 }
 
-// New returns a machine that isn't a member yet.
+// New returns a machine that is not a member yet.
 func New(id string) *Machine {
 	return &Machine{
 		id: id, view: make(map[string]string), retired: make(map[string]bool),
 		halls: make(map[string]bool), pending: make(map[string]bool),
-		marks: make(map[uint64][]string), claims: make(map[uint64]held),
+		marks: make(map[uint64][]string), claims: make(map[uint64]storedClaim),
 		attempts: make(map[string]*attempt), released: make(map[string]bool),
 		guards: allGuards(),
 	}
@@ -105,19 +104,19 @@
 // ID returns the member id.
 func (m *Machine) ID() string { return m.id }
 
-// Synced tells whether this node may try keys.
+// Synced returns whether this node may attempt keys.
 func (m *Machine) Synced() bool { return m.synced && !m.stopped }
 
-// Joined tells whether Join was called.
+// Joined returns whether Join was called.
 func (m *Machine) Joined() bool { return m.joined }
 
-// Stopped tells whether this node has stopped for good.
+// Stopped returns whether this node has stopped for good.
 func (m *Machine) Stopped() bool { return m.stopped }
 
-// Pending returns the members still to sync with, in order.
+// Pending returns the members that this node still has to sync with, sorted.
 func (m *Machine) Pending() []string { return sorted(m.pending) }
 
-// View returns the members in view, this node included, in order.
+// View returns the members in view, this node included, sorted.
 func (m *Machine) View() []string {
 	r := make([]string, 0, len(m.view))
 	for id := range m.view {
@@ -127,7 +126,7 @@
 	return r
 }
 
-// Known tells whether the key may have run, and by which attempt.
+// Known returns whether the key may have run, and by which attempt.
 func (m *Machine) Known(key uint64) (string, bool) {
 	if h, ok := m.claims[key]; ok {
 		return h.attempt, true
@@ -138,7 +137,7 @@
 	return "", false
 }
 
-// Size returns the number of claims and of marks known.
+// Size returns the number of known claims and of marked keys.
 func (m *Machine) Size() (claims, marks int) { return len(m.claims), len(m.marks) }
 
 func (m *Machine) mark(key uint64, id string) {
@@ -165,8 +164,8 @@
 	m.marks[key] = l
 }
 
-// Marked returns the marked keys in order.
-func (m *Machine) Marked() []uint64 { return m.keys() }
+// Marked returns the marked keys, sorted.
+func (m *Machine) Marked() []uint64 { return m.markedKeys() }
 
 // Forget drops the marks of a key whose declared lifetime is over.
 func (m *Machine) Forget(key uint64) { delete(m.marks, key) }
@@ -180,9 +179,8 @@
 	return r
 }
 
-// Join begins membership, after this node's record was written: list holds the
-// members and claims of one read that came after that write. It asks every other
-// member for its table.
+// Join starts membership after this node's record was written: list holds the members and claims of one
+// read that came after that write. It asks every other member for its table.
 func (m *Machine) Join(list []Change) []Action {
 	m.joined = true
 	for _, c := range list {
@@ -194,11 +192,11 @@
 		}
 	}
 	m.checkSynced()
-	return m.SyncAgain()
+	return m.RetrySync()
 }
 
-// SyncAgain repeats the requests to the members not yet synced with.
-func (m *Machine) SyncAgain() []Action {
+// RetrySync repeats the requests to the members that this node has not synced with yet.
+func (m *Machine) RetrySync() []Action {
 	var r []Action
 	for _, id := range m.Pending() {
 		r = append(r, m.send(Message{Kind: MessageSync, To: id, View: []string{m.view[m.id]}}))
@@ -217,8 +215,8 @@
 	return Action{Kind: ActionSend, Message: g}
 }
 
-// Watch takes the next changes of the ordered watch.
-func (m *Machine) Watch(list []Change) []Action {
+// ApplyChanges applies the next changes of the ordered watch.
+func (m *Machine) ApplyChanges(list []Change) []Action {
 	var r []Action
 	for _, c := range list {
 		r = append(r, m.apply(c)...)
@@ -234,7 +232,7 @@
 		m.addMember(c.Member, c.Hall)
 		return nil
 	}
-	m.drop(c.Member)
+	m.removeMember(c.Member)
 	if c.Member == m.id {
 		return m.stop()
 	}
@@ -250,13 +248,13 @@
 		delete(m.claims, c.Key)
 		return nil
 	}
-	r := m.killTry(c.Key, c.Attempt)
+	r := m.abortPending(c.Key, c.Attempt)
 	a := m.attempts[c.Attempt]
 	own := a != nil || ok && h.own && h.attempt == c.Attempt
-	m.claims[c.Key] = held{attempt: c.Attempt, revision: c.Revision, own: own}
+	m.claims[c.Key] = storedClaim{attempt: c.Attempt, revision: c.Revision, own: own}
 	m.unmark(c.Key, c.Attempt)
 	if a != nil {
-		a.promised = false
+		a.runsByPromise = false
 	}
 	return r
 }
@@ -269,7 +267,7 @@
 	m.halls[hall] = true
 }
 
-func (m *Machine) drop(id string) {
+func (m *Machine) removeMember(id string) {
 	m.retired[id] = true
 	delete(m.view, id)
 	if m.pending[id] {
@@ -278,49 +276,49 @@
 	}
 }
 
-// learn takes in that a key may have run.
-func (m *Machine) learn(e Entry) []Action {
+// mergeEntry merges a key that may have run, as another node reports it.
+func (m *Machine) mergeEntry(e Entry) []Action {
 	if e.Revision > 0 {
 		return m.applyClaim(Change{Key: e.Key, Attempt: e.Attempt, Revision: e.Revision})
 	}
-	r := m.killTry(e.Key, e.Attempt)
+	r := m.abortPending(e.Key, e.Attempt)
 	if m.claims[e.Key].attempt != e.Attempt {
 		m.mark(e.Key, e.Attempt)
 	}
 	return r
 }
 
-// killTry ends this node's own try of a key that another attempt may run, unless
-// the try has its permission already. The proof doesn't need this (the try would be
-// refused later); it answers the caller sooner.
-func (m *Machine) killTry(key uint64, other string) []Action {
+// abortPending ends this node's own attempt at a key that another attempt may run, unless the own one has
+// its permission already. The proof does not need this, since the attempt would be rejected later; it
+// responds to the caller sooner.
+func (m *Machine) abortPending(key uint64, other string) []Action {
 	for _, id := range m.marks[key] {
 		a := m.attempts[id]
 		if a != nil && id != other && (a.phase == phaseWriting || a.phase == phaseAsking) {
-			return m.kill(id, ReasonKnown)
+			return m.abort(id, ReasonKnown)
 		}
 	}
 	return nil
 }
 
-// SetPlatform says whether the platform answers. When it comes back, promised
-// keys are recorded as claims: one's own at once, and others' when their claimant
-// is no longer there to do it.
+// SetPlatform sets whether the platform is available. When it becomes available again, promised keys are
+// recorded as claims: those of this node's attempts at once, and those of other nodes' attempts in case
+// the claimant no longer exists.
 func (m *Machine) SetPlatform(up bool) []Action {
-	came := up && !m.up
-	m.up = up
-	if !came {
+	regained := up && !m.platformUp
+	m.platformUp = up
+	if !regained {
 		return nil
 	}
-	return m.record(func(attempt string) bool {
+	return m.recordMarks(func(attempt string) bool {
 		a := m.attempts[attempt]
-		return a == nil || a.promised
+		return a == nil || a.runsByPromise
 	})
 }
 
-func (m *Machine) record(keep func(attempt string) bool) []Action {
+func (m *Machine) recordMarks(keep func(attempt string) bool) []Action {
 	var r []Action
-	for _, k := range m.keys() {
+	for _, k := range m.markedKeys() {
 		for _, id := range m.marks[k] {
 			if keep(id) {
 				r = append(r, Action{Kind: ActionRecord, Key: k, Attempt: id})
@@ -330,8 +328,8 @@
 	return r
 }
 
-// keys returns the marked keys in order.
-func (m *Machine) keys() []uint64 {
+// markedKeys returns the marked keys, sorted.
+func (m *Machine) markedKeys() []uint64 {
 	r := make([]uint64, 0, len(m.marks))
 	for k := range m.marks {
 		r = append(r, k)
@@ -340,8 +338,8 @@
 	return r
 }
 
-// DropClaims forgets the claims that a whole read at a revision didn't show and
-// that are not newer than it.
+// DropClaims drops the claims that a complete read at a revision did not contain and that are not newer
+// than that revision.
 func (m *Machine) DropClaims(list []Change, revision int64) []Action {
 	shown := make(map[uint64]bool, len(list))
 	for _, c := range list {
@@ -357,9 +355,8 @@
 	return nil
 }
 
-// Leave stops this node for good. Its tries that haven't run are dead, every
-// member gets its table, and promises that it holds are to be recorded before its
-// member record is deleted.
+// Leave stops this node for good. Its attempts that have not run are aborted, every member receives its
+// table, and promises that it holds are to be recorded before its member record is deleted.
 func (m *Machine) Leave() []Action {
 	if m.stopped {
 		return nil
@@ -368,10 +365,10 @@
 	r := m.stop()
 	for _, p := range others {
 		if p != m.id {
-			r = append(r, m.send(Message{Kind: MessageLeave, To: p, Table: m.leaving()}))
+			r = append(r, m.send(Message{Kind: MessageLeave, To: p, Table: m.leaveTable()}))
 		}
 	}
-	return append(r, m.record(func(string) bool { return true })...)
+	return append(r, m.recordMarks(func(string) bool { return true })...)
 }
 
 func (m *Machine) stop() []Action {
@@ -385,7 +382,7 @@
 	for _, id := range ids {
 		a := m.attempts[id]
 		if a.phase == phaseWriting || a.phase == phaseAsking {
-			r = append(r, m.kill(id, ReasonStopped)...)
+			r = append(r, m.abort(id, ReasonStopped)...)
 		}
 	}
 	return r
--- a/internal/claim/receive.go
+++ b/internal/claim/receive.go
@@ -2,38 +2,38 @@
 
 import "sort"
 
-// This file is what the machine does with its peers' messages.
+// This file handles messages from peers.
 
-// Receive takes a message from a peer.
+// Receive handles a message from a peer.
 func (m *Machine) Receive(g Message) []Action {
 	if g.To != m.id {
-		return nil // meant for an earlier process on this address
+		return nil // addressed to an earlier process on this address
 	}
 	switch g.Kind {
 	case MessageAsk:
-		return m.promise(g)
+		return m.handleAsk(g)
 	case MessageGrant:
-		return m.granted(g)
+		return m.handleGrant(g)
 	case MessageDeny:
-		return m.denied(g)
+		return m.handleDeny(g)
 	case MessageRelease:
 		m.unmark(g.Key, g.Attempt)
-		m.remember(g.Attempt)
+		m.rememberReleased(g.Attempt)
 	case MessageSync:
-		return m.giveTable(g)
+		return m.sendTable(g)
 	case MessageTable:
-		return m.takeTable(g)
+		return m.receiveTable(g)
 	case MessageLeave:
-		r := m.learnAll(g.Table)
-		m.drop(g.From)
+		r := m.mergeTable(g.Table)
+		m.removeMember(g.From)
 		return r
 	}
 	return nil
 }
 
-func (m *Machine) promise(g Message) []Action {
+func (m *Machine) handleAsk(g Message) []Action {
 	reply := Message{Kind: MessageGrant, To: g.From, Key: g.Key, Attempt: g.Attempt}
-	if why := m.mayPromise(g); why != ReasonNone {
+	if why := m.denialReason(g); why != ReasonNone {
 		reply.Kind, reply.Reason = MessageDeny, why
 		return []Action{m.send(reply)}
 	}
@@ -41,49 +41,49 @@
 	return []Action{m.send(reply)}
 }
 
-func (m *Machine) mayPromise(g Message) Reason {
+func (m *Machine) denialReason(g Message) Reason {
 	if m.stopped {
 		return ReasonStopped
 	}
 	if !m.synced && m.guards.syncedFirst {
 		return ReasonUnsynced
 	}
-	// Not needed for the proof either: a removed asker is refused early, and hears why.
+	// The proof does not need this check. It rejects a removed asker early and tells it the reason.
 	if _, ok := m.view[g.From]; !ok {
-		return ReasonView
+		return ReasonViewMismatch
 	}
-	if m.guards.sameView && !m.knowsAll(g.View) {
-		return ReasonView
+	if m.guards.sameView && !m.coversView(g.View) {
+		return ReasonViewMismatch
 	}
 	if m.released[g.Attempt] {
-		return ReasonSilent
+		return ReasonTimeout
 	}
-	if m.guards.peerKnows && m.knownOther(g.Key, g.Attempt) {
+	if m.guards.rejectKnown && m.takenByOther(g.Key, g.Attempt) {
 		return ReasonKnown
 	}
 	return ReasonNone
 }
 
-// releasedLimit bounds the memory of released attempts. An ask that is later than so
-// many releases marks its key until the key's lifetime ends, which only refuses.
+// releasedLimit bounds the number of released attempts that are kept. A request that arrives after more
+// releases than that marks its key until the key's lifetime ends, which only rejects later attempts.
 const releasedLimit = 4096
 
-func (m *Machine) remember(id string) {
+func (m *Machine) rememberReleased(id string) {
 	if m.released[id] {
 		return
 	}
 	m.released[id] = true
-	if len(m.ring) < releasedLimit {
-		m.ring = append(m.ring, id)
+	if len(m.releasedOrder) < releasedLimit {
+		m.releasedOrder = append(m.releasedOrder, id)
 		return
 	}
-	delete(m.released, m.ring[m.at])
-	m.ring[m.at] = id
-	m.at = (m.at + 1) % releasedLimit
+	delete(m.released, m.releasedOrder[m.releasedNext])
+	m.releasedOrder[m.releasedNext] = id
+	m.releasedNext = (m.releasedNext + 1) % releasedLimit
 }
 
-// knownOther tells whether an attempt other than id may run the key.
-func (m *Machine) knownOther(key uint64, id string) bool {
+// takenByOther returns whether an attempt other than id may run the key.
+func (m *Machine) takenByOther(key uint64, id string) bool {
 	if h, ok := m.claims[key]; ok && h.attempt != id {
 		return true
 	}
@@ -95,8 +95,8 @@
 	return false
 }
 
-// knowsAll tells whether an asker's view holds every member of this node's.
-func (m *Machine) knowsAll(view []string) bool {
+// coversView returns whether an asker's view contains every member of this node's view.
+func (m *Machine) coversView(view []string) bool {
 	has := make(map[string]bool, len(view))
 	for _, id := range view {
 		has[id] = true
@@ -109,34 +109,33 @@
 	return true
 }
 
-func (m *Machine) granted(g Message) []Action {
+func (m *Machine) handleGrant(g Message) []Action {
 	a := m.attempts[g.Attempt]
 	if a == nil || a.phase == phaseRunning {
 		return nil
 	}
-	if a.phase != phaseAsking && m.guards.deadStays {
+	if a.phase != phaseAsking && m.guards.abortFinal {
 		return nil
 	}
 	delete(a.waiting, g.From)
-	if len(a.waiting) > 0 && m.guards.askAll {
+	if len(a.waiting) > 0 && m.guards.allPromise {
 		return nil
 	}
-	a.promised = true
+	a.runsByPromise = true
 	return m.run(g.Attempt)
 }
 
-func (m *Machine) denied(g Message) []Action {
+func (m *Machine) handleDeny(g Message) []Action {
 	a := m.attempts[g.Attempt]
 	if a == nil || a.phase != phaseAsking {
 		return nil
 	}
-	return m.kill(g.Attempt, g.Reason)
+	return m.abort(g.Attempt, g.Reason)
 }
 
-// leaving lists what the others have to know once this node is out of their
-// views: its marks, and the claims that it made itself, which may be ahead of what
-// they have read.
-func (m *Machine) leaving() []Entry {
+// leaveTable lists what the other members need once this node is no longer in their views: its marks, and
+// the claims that it made itself, which may be ahead of what they have read.
+func (m *Machine) leaveTable() []Entry {
 	r := m.table()
 	for k, h := range m.claims {
 		if h.own {
@@ -147,11 +146,11 @@
 	return r
 }
 
-// table lists the marks. A joiner needs no claims: it reads them from the
-// platform, and whoever made one that it hasn't read yet is still in its view.
+// table lists the marks. A joiner needs no claims: it reads them from the platform, and the member that
+// made a claim that the joiner has not read yet is still in its view.
 func (m *Machine) table() []Entry {
 	var r []Entry
-	for _, k := range m.keys() {
+	for _, k := range m.markedKeys() {
 		for _, id := range m.marks[k] {
 			r = append(r, Entry{Key: k, Attempt: id})
 		}
@@ -159,14 +158,14 @@
 	return r
 }
 
-func (m *Machine) giveTable(g Message) []Action {
-	// A node that hasn't joined itself has no table to give yet; it will be asked again.
+func (m *Machine) sendTable(g Message) []Action {
+	// A node that has not joined yet has no complete table; the joiner asks again.
 	if !m.joined || m.stopped || m.retired[g.From] {
 		return nil
 	}
 	hall := ""
 	if len(g.View) == 1 {
-		hall = g.View[0] // a joiner's Sync carries its hall
+		hall = g.View[0] // the view of a MessageSync is the joiner's hall
 	}
 	if _, ok := m.view[g.From]; !ok {
 		m.addMember(g.From, hall)
@@ -174,8 +173,8 @@
 	return []Action{m.send(Message{Kind: MessageTable, To: g.From, Table: m.table()})}
 }
 
-func (m *Machine) takeTable(g Message) []Action {
-	r := m.learnAll(g.Table)
+func (m *Machine) receiveTable(g Message) []Action {
+	r := m.mergeTable(g.Table)
 	if m.pending[g.From] {
 		delete(m.pending, g.From)
 		m.checkSynced()
@@ -183,10 +182,10 @@
 	return r
 }
 
-func (m *Machine) learnAll(list []Entry) []Action {
+func (m *Machine) mergeTable(list []Entry) []Action {
 	var r []Action
 	for _, e := range list {
-		r = append(r, m.learn(e)...)
+		r = append(r, m.mergeEntry(e)...)
 	}
 	return r
 }
--- a/internal/claim/world_test.go
+++ b/internal/claim/world_test.go
@@ -2,35 +2,35 @@
 
 import "fmt"
 
-// This file is a world of machines in which everything may happen in any order.
+// This file simulates several machines with events in any order.
 
-// world is a few machines, the messages between them and a platform, driven one
-// step at a time by a chooser. Every step is one that the brief's failures allow.
+// world is a set of machines, the messages between them and a platform. A chooser function selects each step,
+// and every step is one of the failures or events that the protocol has to tolerate.
 type world struct {
 	pick     func(n int) int
 	guards   guards
 	compare  bool // the claim's transaction compares the member record
 	nodes    []*node
-	mail     []Message
+	messages []Message
 	writes   []write
 	log      []Change
 	members  map[string]string
 	claims   map[uint64]string
 	runs     map[uint64][]string
-	refused  map[string]bool
+	rejected map[string]bool
 	joined   int
 	attempts int
 }
 
 type node struct {
-	m       *Machine
-	hall    string
-	dead    bool
-	reach   bool // the platform answers it
-	seen    int  // position in the platform's log
-	allowed []Action
-	records int // records still to write before its member record may go
-	left    bool
+	m           *Machine
+	hall        string
+	crashed     bool
+	platformUp  bool // the platform responds to it
+	logPosition int  // position in the platform's log
+	allowed     []Action
+	records     int // records still to write before its member record may be deleted
+	left        bool
 }
 
 type write struct {
@@ -44,11 +44,11 @@
 func newWorld(pick func(n int) int, g guards, compare bool) *world {
 	w := &world{
 		pick: pick, guards: g, compare: compare, members: map[string]string{},
-		claims: map[uint64]string{}, runs: map[uint64][]string{}, refused: map[string]bool{},
+		claims: map[uint64]string{}, runs: map[uint64][]string{}, rejected: map[string]bool{},
 	}
 	for i := 0; i < 3; i++ {
 		w.join()
-		for len(w.mail) > 0 {
+		for len(w.messages) > 0 {
 			w.deliver(0)
 		}
 	}
@@ -57,7 +57,7 @@
 
 func (w *world) join() {
 	w.joined++
-	n := &node{m: New(fmt.Sprintf("n%d", w.joined)), hall: fmt.Sprintf("hall%d", w.joined%2), reach: true}
+	n := &node{m: New(fmt.Sprintf("n%d", w.joined)), hall: fmt.Sprintf("hall%d", w.joined%2), platformUp: true}
 	n.m.guards = w.guards
 	w.members[n.m.ID()] = n.hall
 	w.append(Change{Member: n.m.ID(), Hall: n.hall})
@@ -73,7 +73,7 @@
 			list = append(list, Change{Key: k, Attempt: a, Revision: int64(len(w.log))})
 		}
 	}
-	n.seen = len(w.log)
+	n.logPosition = len(w.log)
 	n.m.SetPlatform(true)
 	w.do(n, n.m.Join(list))
 }
@@ -87,7 +87,7 @@
 	for _, a := range list {
 		switch a.Kind {
 		case ActionSend:
-			w.mail = append(w.mail, a.Message)
+			w.messages = append(w.messages, a.Message)
 		case ActionWrite:
 			w.writes = append(w.writes, write{from: n, key: a.Key, attempt: a.Attempt})
 		case ActionRecord:
@@ -97,8 +97,8 @@
 			w.writes = append(w.writes, write{from: n, key: a.Key, attempt: a.Attempt, erase: true})
 		case ActionRun:
 			n.allowed = append(n.allowed, a)
-		case ActionRefuse:
-			w.refused[a.Attempt] = true
+		case ActionReject:
+			w.rejected[a.Attempt] = true
 		}
 	}
 }
@@ -113,15 +113,15 @@
 }
 
 func (w *world) deliver(i int) {
-	g := w.mail[i]
-	w.mail = append(w.mail[:i:i], w.mail[i+1:]...)
-	if n := w.node(g.To); !n.dead {
+	g := w.messages[i]
+	w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+	if n := w.node(g.To); !n.crashed {
 		w.do(n, n.m.Receive(g))
 	}
 }
 
-// effect lets a pending write reach the platform; its answer may be lost.
-func (w *world) effect(i int, answer bool) {
+// applyWrite applies a pending write to the platform. Unless responds is set, its response is lost.
+func (w *world) applyWrite(i int, responds bool) {
 	p := w.writes[i]
 	w.writes = append(w.writes[:i:i], w.writes[i+1:]...)
 	if p.erase {
@@ -142,39 +142,39 @@
 		p.from.records--
 		return
 	}
-	if p.from.dead {
+	if p.from.crashed {
 		return
 	}
 	switch {
-	case !answer:
-		w.do(p.from, p.from.m.Wrote(p.attempt, WriteUnknown, 0))
+	case !responds:
+		w.do(p.from, p.from.m.HandleWriteResult(p.attempt, WriteUnknown, 0))
 	case ok:
-		w.do(p.from, p.from.m.Wrote(p.attempt, WriteGranted, int64(len(w.log))))
+		w.do(p.from, p.from.m.HandleWriteResult(p.attempt, WriteGranted, int64(len(w.log))))
 	default:
-		w.do(p.from, p.from.m.Wrote(p.attempt, WriteRefused, 0))
+		w.do(p.from, p.from.m.HandleWriteResult(p.attempt, WriteRejected, 0))
 	}
 }
 
-// lose gives up waiting for a write that may still have its effect later.
-func (w *world) lose(i int) {
+// loseResponse reports a write as unknown that may still take effect later.
+func (w *world) loseResponse(i int) {
 	p := w.writes[i]
-	if !p.record && !p.erase && !p.from.dead {
-		w.do(p.from, p.from.m.Wrote(p.attempt, WriteUnknown, 0))
+	if !p.record && !p.erase && !p.from.crashed {
+		w.do(p.from, p.from.m.HandleWriteResult(p.attempt, WriteUnknown, 0))
 	}
 }
 
 func (w *world) watch(n *node) {
-	if n.seen >= len(w.log) || n.dead || !n.reach {
+	if n.logPosition >= len(w.log) || n.crashed || !n.platformUp {
 		return
 	}
-	c := w.log[n.seen]
-	n.seen++
-	w.do(n, n.m.Watch([]Change{c}))
+	c := w.log[n.logPosition]
+	n.logPosition++
+	w.do(n, n.m.ApplyChanges([]Change{c}))
 }
 
-// lastHolder tells whether taking n away would lose a promise for good: the one
-// loss that the protocol states and doesn't cover.
-func (w *world) lastHolder(n *node) bool {
+// holdsLastPromise returns whether removing n would lose a promise for good: the one loss that the protocol
+// documents as not covered.
+func (w *world) holdsLastPromise(n *node) bool {
 	for k := uint64(0); k < keys; k++ {
 		if _, ok := w.claims[k]; ok {
 			continue
@@ -185,7 +185,7 @@
 		others := 0
 		for _, o := range w.nodes {
 			_, listed := w.members[o.m.ID()]
-			if _, ok := o.m.Known(k); ok && o != n && !o.dead && !o.left && listed && o.m.Synced() {
+			if _, ok := o.m.Known(k); ok && o != n && !o.crashed && !o.left && listed && o.m.Synced() {
 				others++
 			}
 		}
@@ -196,33 +196,32 @@
 	return false
 }
 
-func (w *world) kill(n *node) {
-	if !w.lastHolder(n) {
-		n.dead = true
+func (w *world) crash(n *node) {
+	if !w.holdsLastPromise(n) {
+		n.crashed = true
 	}
 }
 
-// retire removes the record of a node that is dead, that has left and whose
-// promises are recorded, or that the VM list wrongly takes for gone: such a node
-// goes on, cut off and unaware. One at a time: if the list wrongly drops every
-// node that made a promise, a joiner has nobody left to learn of it from, which
-// docs/PROOFS.md states as not covered.
+// retire removes the record of a node that has crashed, that has left and whose promises are recorded, or
+// that the VM list wrongly drops: such a node continues, partitioned and unaware. Only one node may be
+// wrongly dropped at a time: if the list dropped every node that made a promise, a joiner would have no
+// member to learn of it from, which docs/PROOFS.md documents as not covered.
 func (w *world) retire(n *node) {
 	if _, ok := w.members[n.m.ID()]; !ok {
 		return
 	}
-	clean := n.dead || n.left && n.records == 0 && n.reach
-	if !clean && (w.lastHolder(n) || w.cutOff()) {
+	clean := n.crashed || n.left && n.records == 0 && n.platformUp
+	if !clean && (w.holdsLastPromise(n) || w.hasUnlistedRunning()) {
 		return
 	}
 	delete(w.members, n.m.ID())
 	w.append(Change{Member: n.m.ID(), Deleted: true})
 }
 
-// cutOff tells whether a node already goes on without being listed.
-func (w *world) cutOff() bool {
+// hasUnlistedRunning returns whether a node runs already without being listed.
+func (w *world) hasUnlistedRunning() bool {
 	for _, n := range w.nodes {
-		if _, listed := w.members[n.m.ID()]; !listed && !n.dead && !n.m.Stopped() {
+		if _, listed := w.members[n.m.ID()]; !listed && !n.crashed && !n.m.Stopped() {
 			return true
 		}
 	}
@@ -230,13 +229,13 @@
 }
 
 func (w *world) run(n *node) error {
-	if n.dead || len(n.allowed) == 0 {
+	if n.crashed || len(n.allowed) == 0 {
 		return nil
 	}
 	a := n.allowed[0]
 	n.allowed = n.allowed[1:]
 	if w.pick(5) == 0 { // the call found no upstream
-		w.refused[a.Attempt] = true
+		w.rejected[a.Attempt] = true
 		w.do(n, n.m.Finish(a.Attempt, false))
 		return nil
 	}
@@ -245,52 +244,52 @@
 	if len(w.runs[a.Key]) > 1 {
 		return fmt.Errorf("key %d ran %d times: %v", a.Key, len(w.runs[a.Key]), w.runs[a.Key])
 	}
-	if w.refused[a.Attempt] {
-		return fmt.Errorf("attempt %s ran after it was told not-run", a.Attempt)
+	if w.rejected[a.Attempt] {
+		return fmt.Errorf("attempt %s ran after its caller was told that it had not run", a.Attempt)
 	}
 	return nil
 }
 
-// step does one thing. The weights favour what moves the protocol on.
+// step runs one random event. The weights favour events that advance the protocol.
 func (w *world) step() error {
 	n := w.nodes[w.pick(len(w.nodes))]
 	switch w.pick(20) {
 	case 0, 1, 2:
-		if !n.dead {
+		if !n.crashed {
 			w.attempts++
-			w.do(n, n.m.Begin(uint64(w.pick(keys)), fmt.Sprintf("a%d", w.attempts), w.pick(4) > 0))
+			w.do(n, n.m.StartAttempt(uint64(w.pick(keys)), fmt.Sprintf("a%d", w.attempts), w.pick(4) > 0))
 		}
 	case 3, 4, 5, 6, 7:
-		if len(w.mail) > 0 {
-			w.deliver(w.pick(len(w.mail)))
+		if len(w.messages) > 0 {
+			w.deliver(w.pick(len(w.messages)))
 		}
 	case 8:
-		if len(w.mail) > 0 && w.pick(3) == 0 { // lost
-			i := w.pick(len(w.mail))
-			w.mail = append(w.mail[:i:i], w.mail[i+1:]...)
+		if len(w.messages) > 0 && w.pick(3) == 0 { // lost
+			i := w.pick(len(w.messages))
+			w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
 		}
 	case 9:
-		if len(w.mail) > 0 && len(w.mail) < 40 { // doubled
-			w.mail = append(w.mail, w.mail[w.pick(len(w.mail))])
+		if len(w.messages) > 0 && len(w.messages) < 40 { // duplicated
+			w.messages = append(w.messages, w.messages[w.pick(len(w.messages))])
 		}
 	case 10, 11:
 		if len(w.writes) > 0 {
-			w.effect(w.pick(len(w.writes)), w.pick(3) > 0)
+			w.applyWrite(w.pick(len(w.writes)), w.pick(3) > 0)
 		}
 	case 12:
 		if len(w.writes) > 0 {
-			w.lose(w.pick(len(w.writes)))
+			w.loseResponse(w.pick(len(w.writes)))
 		}
 	case 13, 14:
 		w.watch(n)
 	case 15:
-		n.reach = !n.reach
-		w.do(n, n.m.SetPlatform(n.reach))
+		n.platformUp = !n.platformUp
+		w.do(n, n.m.SetPlatform(n.platformUp))
 	case 16:
-		w.trouble(n)
+		w.injectFault(n)
 	case 17:
-		if !n.dead && w.pick(2) == 0 && w.attempts > 0 {
-			w.giveUp(n, fmt.Sprintf("a%d", 1+w.pick(w.attempts)))
+		if !n.crashed && w.pick(2) == 0 && w.attempts > 0 {
+			w.cancel(n, fmt.Sprintf("a%d", 1+w.pick(w.attempts)))
 		}
 	default:
 		return w.run(n)
@@ -298,9 +297,9 @@
 	return nil
 }
 
-// giveUp is a caller that stops waiting. Half of the time it had waited for an answer
-// that is here already, which it then never uses.
-func (w *world) giveUp(n *node, id string) {
+// cancel plays a caller that stops waiting. In half of the cases the permission has arrived already and is
+// never used.
+func (w *world) cancel(n *node, id string) {
 	if w.pick(2) == 0 {
 		w.do(n, n.m.Abandon(id))
 		return
@@ -308,17 +307,17 @@
 	for i, a := range n.allowed {
 		if a.Attempt == id {
 			n.allowed = append(n.allowed[:i:i], n.allowed[i+1:]...)
-			w.refused[id] = true
-			w.do(n, n.m.GiveUp(id))
+			w.rejected[id] = true
+			w.do(n, n.m.Cancel(id))
 			return
 		}
 	}
 }
 
-func (w *world) trouble(n *node) {
+func (w *world) injectFault(n *node) {
 	switch w.pick(5) {
 	case 0:
-		w.kill(n)
+		w.crash(n)
 	case 1:
 		w.retire(n)
 	case 2:
@@ -326,13 +325,13 @@
 			w.join()
 		}
 	case 3:
-		if !n.dead && !n.left && !w.lastHolder(n) {
+		if !n.crashed && !n.left && !w.holdsLastPromise(n) {
 			n.left = true
 			w.do(n, n.m.Leave())
 		}
 	default:
-		if !n.dead {
-			w.do(n, n.m.SyncAgain())
+		if !n.crashed {
+			w.do(n, n.m.RetrySync())
 		}
 	}
 }
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -10,10 +10,10 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file writes claims to the platform: many in one transaction, each settled
-// by itself, and none concluded from a lost answer without reading back.
+// This file writes claims to the platform: many in one transaction, each settled separately. A write without
+// a response is read back before its outcome is decided.
 
-// batchLimit keeps a transaction under the service's limit on operations.
+// batchLimit keeps a transaction under the store's limit on operations.
 const batchLimit = 60
 
 func (b *Manager) writeLoop(ctx context.Context) {
@@ -39,12 +39,12 @@
 	}
 }
 
-// commit settles a batch: in one transaction if no key is taken, else without the
-// taken ones, at most as often as there are keys.
+// commit settles a batch: in one transaction if no key is taken, else without the taken keys. It runs at
+// most as many transactions as there are keys.
 func (b *Manager) commit(ctx context.Context, list []pendingWrite) {
 	if !b.o.Up() {
 		for _, p := range list {
-			b.behalf(ctx, p)
+			b.proxyWrite(ctx, p)
 		}
 		return
 	}
@@ -54,22 +54,22 @@
 			b.settleUnknown(ctx, list, err)
 			return
 		}
-		if len(left) == len(list) { // nothing taken, yet refused: not a member
-			b.answer(list, WriteRefused, 0)
+		if len(left) == len(list) { // no key is taken and yet the write was rejected: this node is not a member
+			b.settleAll(list, WriteRejected, 0)
 			return
 		}
 		list = left
 	}
 }
 
-func (b *Manager) answer(list []pendingWrite, w WriteResult, revision int64) {
+func (b *Manager) settleAll(list []pendingWrite, w WriteResult, revision int64) {
 	for _, p := range list {
 		p.result(w, revision)
 	}
 }
 
-// attemptCommit tries to claim all keys at once. If that fails it settles those
-// that are taken and returns the others.
+// attemptCommit tries to claim all keys at once. If that fails, it settles the writes whose keys are taken
+// and returns the others.
 func (b *Manager) attemptCommit(ctx context.Context, list []pendingWrite) ([]pendingWrite, error) {
 	t, err := b.transaction(ctx, list)
 	if err != nil {
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if r.Succeeded {
-		b.answer(list, WriteGranted, r.Revision)
+		b.settleAll(list, WriteGranted, r.Revision)
 		return nil, nil
 	}
 	var left []pendingWrite
@@ -89,7 +89,7 @@
 			left = append(left, p)
 			continue
 		}
-		p.result(b.judge(p, r.Reads[i].Pairs[0]))
+		p.result(b.matchClaim(p, r.Reads[i].Pairs[0]))
 	}
 	return left, nil
 }
@@ -120,18 +120,18 @@
 	return t, nil
 }
 
-// judge compares a claim that was found with the one that was wanted.
-func (b *Manager) judge(p pendingWrite, found store.Pair) (WriteResult, int64) {
+// matchClaim compares a claim that was found with the one that was to be written.
+func (b *Manager) matchClaim(p pendingWrite, found store.Pair) (WriteResult, int64) {
 	var v Record
 	if json.Unmarshal(found.Value, &v) == nil && v.Attempt == p.attempt {
 		return WriteGranted, found.Modified
 	}
-	return WriteRefused, 0
+	return WriteRejected, 0
 }
 
-// lease returns a platform lease that outlasts the lifetime. Claims made within
-// the same part of a lifetime share one, and the platform drops them when it ends:
-// no node has to sweep, and no claim depends on its holder.
+// lease returns a platform lease that outlasts the lifetime. Claims made within the same part of a lifetime
+// share a lease, and the platform drops them when it ends: no node has to clean up, and no claim depends
+// on its holder.
 func (b *Manager) lease(ctx context.Context, lifetime time.Duration) (int64, error) {
 	now := b.o.Clock.Now()
 	b.mu.Lock()
@@ -140,7 +140,7 @@
 	if ok && now.Before(l.until) {
 		return l.id, nil
 	}
-	span := lifetime/leaseParts + time.Second
+	span := lifetime/leasesPerLifetime + time.Second
 	id, err := b.o.KV.Grant(ctx, lifetime+span)
 	if err != nil {
 		return 0, err
@@ -151,14 +151,14 @@
 	return id, nil
 }
 
-// leaseParts is how many leases cover one lifetime.
-const leaseParts = 24
+// leasesPerLifetime is the number of leases that cover one lifetime.
+const leasesPerLifetime = 24
 
-// settleUnknown settles a batch whose transaction gave no answer or wasn't made.
+// settleUnknown settles a batch whose transaction got no response or was not sent.
 func (b *Manager) settleUnknown(ctx context.Context, list []pendingWrite, err error) {
 	if !errors.Is(err, store.ErrUnknown) {
 		for _, p := range list {
-			b.behalf(ctx, p)
+			b.proxyWrite(ctx, p)
 		}
 		return
 	}
@@ -167,15 +167,15 @@
 	}
 }
 
-// readBack settles one write that got no answer. If its claim isn't there it is
-// written once more: the same attempt can't be granted twice over.
+// readBack settles one write that got no response. If its claim is not stored it is written once more: the
+// same attempt cannot be granted twice.
 func (b *Manager) readBack(ctx context.Context, p pendingWrite) (WriteResult, int64) {
 	r, err := b.o.KV.Range(ctx, claimKey(p.key), "")
 	if err != nil {
 		return WriteUnknown, 0
 	}
 	if len(r.Pairs) > 0 {
-		return b.judge(p, r.Pairs[0])
+		return b.matchClaim(p, r.Pairs[0])
 	}
 	return b.writeOne(ctx, p.key, p.attempt, p.lifetime)
 }
@@ -201,13 +201,13 @@
 	case r.Succeeded:
 		return WriteGranted, r.Revision
 	case len(r.Reads) > 0 && len(r.Reads[0].Pairs) > 0:
-		return b.judge(p, r.Reads[0].Pairs[0])
+		return b.matchClaim(p, r.Reads[0].Pairs[0])
 	}
-	return WriteRefused, 0
+	return WriteRejected, 0
 }
 
-// behalf asks the peers that still have the platform to claim for this node.
-func (b *Manager) behalf(ctx context.Context, p pendingWrite) {
+// proxyWrite asks the peers that still reach the platform to write a claim for this node.
+func (b *Manager) proxyWrite(ctx context.Context, p pendingWrite) {
 	if b.o.ProxyWrite == nil {
 		p.result(WriteUnknown, 0)
 		return
@@ -215,8 +215,8 @@
 	go func() { p.result(b.o.ProxyWrite(ctx, p.key, p.attempt, p.lifetime)) }()
 }
 
-// WriteFor claims on behalf of another member, whose record it compares: a member
-// that was removed can't claim through its peers either.
+// WriteFor writes a claim for another member, whose record it compares: a member that was removed cannot
+// claim through its peers either.
 func (b *Manager) WriteFor(ctx context.Context, member string, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
 	if !b.o.Up() {
 		return WriteUnknown, 0
@@ -226,14 +226,14 @@
 		return WriteUnknown, 0
 	}
 	if len(r.Pairs) == 0 {
-		return WriteRefused, 0
+		return WriteRejected, 0
 	}
 	return b.writeFor(ctx, member, r.Pairs[0].Created, key, attempt, lifetime)
 }
 
-// erase deletes the claim of an attempt that did not run, by itself or through a peer: a node that is cut
-// off from the platform may hold a claim that a peer has written for it, and its caller, who was told
-// that the call has not run, would find the key taken for as long as the cut lasts.
+// erase deletes the claim of an attempt that did not run, directly or through a peer. A node that is
+// partitioned from the platform may hold a claim that a peer has written for it. Its caller was told that
+// the call has not run, and would otherwise find the key taken for as long as the partition lasts.
 func (b *Manager) erase(a Action) {
 	b.mu.Lock()
 	ctx := b.ctx
@@ -241,35 +241,35 @@
 	if ctx == nil {
 		return
 	}
-	for try := 0; try < eraseTries && ctx.Err() == nil; try++ {
-		if b.eraseAnywhere(ctx, a) {
-			b.o.Event("claim_erased", fmt.Sprintf("key %016x, attempt %s, tries %d", a.Key, a.Attempt, try+1))
+	for n := 0; n < eraseAttempts && ctx.Err() == nil; n++ {
+		if b.tryErase(ctx, a) {
+			b.o.Event("claim_erased", fmt.Sprintf("key %016x, attempt %s, tries %d", a.Key, a.Attempt, n+1))
 			return
 		}
-		_ = b.o.Clock.Sleep(ctx, eraseAgain)
+		_ = b.o.Clock.Sleep(ctx, eraseRetryDelay)
 	}
 }
 
-func (b *Manager) eraseAnywhere(ctx context.Context, a Action) bool {
+func (b *Manager) tryErase(ctx context.Context, a Action) bool {
 	if b.o.Up() {
-		return b.eraseOnce(ctx, a.Key, a.Attempt)
+		return b.eraseStored(ctx, a.Key, a.Attempt)
 	}
 	return b.o.ProxyErase != nil && b.o.ProxyErase(ctx, a.Key, a.Attempt)
 }
 
 // EraseFor erases the claim of another member's attempt that did not run.
 func (b *Manager) EraseFor(ctx context.Context, key uint64, attempt string) bool {
-	return b.o.Up() && b.eraseOnce(ctx, key, attempt)
+	return b.o.Up() && b.eraseStored(ctx, key, attempt)
 }
 
-// An erase is tried through an outage of a few minutes; after that the key is free when
-// its lifetime ends.
+// An erase is retried through an outage of a few minutes; after that the key becomes free when its lifetime
+// ends.
 const (
-	eraseTries = 300
-	eraseAgain = 2 * time.Second
+	eraseAttempts   = 300
+	eraseRetryDelay = 2 * time.Second
 )
 
-func (b *Manager) eraseOnce(ctx context.Context, key uint64, attempt string) bool {
+func (b *Manager) eraseStored(ctx context.Context, key uint64, attempt string) bool {
 	k := claimKey(key)
 	r, err := b.o.KV.Range(ctx, k, "")
 	if err != nil {
@@ -278,7 +278,7 @@
 	if len(r.Pairs) == 0 {
 		return true
 	}
-	if w, _ := b.judge(pendingWrite{attempt: attempt}, r.Pairs[0]); w != WriteGranted {
+	if w, _ := b.matchClaim(pendingWrite{attempt: attempt}, r.Pairs[0]); w != WriteGranted {
 		return true
 	}
 	_, err = b.o.KV.Txn(ctx, store.Txn{
@@ -288,15 +288,15 @@
 	return err == nil
 }
 
-// maxRecorded bounds the answers kept for later callers of a key.
-const maxRecorded = 16 << 10
+// maxRecordBody bounds the bytes of a response body that is kept for later callers of a key.
+const maxRecordBody = 16 << 10
 
-// record keeps the answer with the claim.
-func (b *Manager) record(key uint64, v Record) {
+// storeRecord stores the response with the claim.
+func (b *Manager) storeRecord(key uint64, v Record) {
 	b.mu.Lock()
 	ctx := b.ctx
 	b.mu.Unlock()
-	if ctx == nil || len(v.Body) > maxRecorded {
+	if ctx == nil || len(v.Body) > maxRecordBody {
 		return
 	}
 	j, err := json.Marshal(v)
@@ -308,7 +308,7 @@
 	if err != nil || len(r.Pairs) == 0 {
 		return
 	}
-	if w, _ := b.judge(pendingWrite{attempt: v.Attempt}, r.Pairs[0]); w != WriteGranted {
+	if w, _ := b.matchClaim(pendingWrite{attempt: v.Attempt}, r.Pairs[0]); w != WriteGranted {
 		return
 	}
 	_, _ = b.o.KV.Txn(ctx, store.Txn{
@@ -317,7 +317,7 @@
 	})
 }
 
-// LoadRecord returns what is recorded of a key.
+// LoadRecord returns the stored record of a key.
 func (b *Manager) LoadRecord(ctx context.Context, key uint64) (Record, bool) {
 	r, err := b.o.KV.Range(ctx, claimKey(key), "")
 	if err != nil || len(r.Pairs) == 0 {
