--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -2,70 +2,69 @@
 
 import "math"
 
-// This file judges the target by its answers against those of the version in service in the
-// same span, route by route and over all routes: failures, times to the first event, pauses.
+// This file compares the target's responses with those of the version in service over the same period, route
+// by route and over all routes: failures, times to the first event, pauses.
 //
-// Each answer adds to a sum the logarithm of how much likelier it is from a version that is
-// bad by a stated margin than from one like that in service; a sum that falls below zero
-// begins again there (Page's CUSUM). A version is bad once a sum reaches a bound. So one
-// that is bad from the start is seen after a few answers, and one that turns bad later as
-// soon as that, whatever it was like before.
+// Each response adds to a sum the logarithm of how much likelier it is from a version that is bad by a stated
+// margin than from one like that in service; a sum that falls below zero restarts at zero (Page's CUSUM). A
+// version is bad once a sum reaches a bound. So a version that is bad from the start is detected after a few
+// responses, and one that turns bad later is detected as fast, whatever it was like before.
 //
-// No evidence against a version is what others share or explain:
+// Effects that the versions share, or that have another explanation, are no evidence against the target:
 //
-//   - The rate of the version in service, over its newest answers, is what the target's is
-//     compared to, so a cut or an engine's trouble that hits both cancels out.
-//   - A sum also has to hold without the group of upstreams that adds most to it: one that is
-//     ill isn't the version. With one group only, the bound is higher instead.
-//   - Times are relative to what the request should have taken there, so that a cold cache
-//     and a queue count for as little as the node knows of them.
+//   - The target's rate is compared with the rate of the version in service over its newest responses, so a
+//     partition or an engine fault that affects both cancels out.
+//   - A sum also has to hold without the group of upstreams that adds most to it: one unhealthy group is not
+//     the version. With only one group, the bound is higher instead.
+//   - Times are relative to what the request should have taken there, so that a cold cache and a queue count
+//     only as far as the node does not know of them.
 //
-// Weighed, played in internal/model (docs/design/shifted.md has the table): fixed thresholds
-// on a span's rates. Set to stop one in ten failing within the exposure, they also stop good
-// versions by chance; set for these, they see one route's failures too late.
+// Alternatives considered, simulated in internal/model (docs/design/shifted.md has the table): fixed
+// thresholds on the rates of a period. Set to stop a version that fails one request in ten within the
+// exposure, they also stop good versions by chance; set not to do that, they detect failures of a single
+// route too late.
 
 // The margins and bounds of the test.
 const (
-	// failMargin is how much of the answers more a bad version fails, slowMargin how much
-	// more of them are slow. A version that is twice as slow has some 0.7 of its answers beyond
-	// what 0.3 of the others' are, with times that spread by a factor of two.
+	// failMargin is the additional share of responses that fail at a bad version, slowMargin the additional
+	// share that is slow. A version that is twice as slow has about 0.7 of its responses beyond the time that
+	// 0.3 of the others' exceed, if times spread by a factor of two.
 	failMargin = 0.08
 	slowMargin = 0.25
-	// leastFailing is the rate of failures that a version is allowed however few the others
-	// have.
-	leastFailing = 0.01
-	// slowShare is the part of the answers of the version in service that count as slow.
-	slowShare = 0.3
-	// bound is what a sum has to reach: the logarithm of the odds that a bad version is told
-	// from a good one by, 1 in 3,000 a sum, of which there are a dozen.
-	bound = 10.0
-	// boundAlone is the same where all answers are of one group of upstreams.
-	boundAlone = 13.0
-	// withoutWorst is the part of a bound that has to be left without the worst group.
-	withoutWorst = 0.55
-	// newest is how many answers of the version in service its rates are taken over, and
-	// leastKnown how many it takes to compare with. Trouble that begins shows in the last
-	// lately of them first: of both rates the higher one counts.
-	newest     = 300.0
-	lately     = 50.0
-	leastKnown = 15.0
-	// A version is clear of failures while what speaks for it comes to clearAt: some thirty
-	// answers without one. The sum falls no further than clearLeast, so that failures that
-	// begin late count.
-	clearAt    = -2.0
-	clearLeast = -3.0
-	// Once the target gets nearly all, there is nothing to compare with any more, and only
-	// what no trouble of all upstreams explains counts: aloneFailing and the margins after it
-	// take the place of the others when alone answers of the target came beyond fourfold those
-	// of the version in service.
-	alone           = 60.0
-	aloneWeight     = 4.0
-	aloneFailing    = 0.05
-	aloneFailMargin = 0.25
-	aloneSlowMargin = 0.5
+	// minFailRate is the failure rate that a version is allowed, however few failures the version in
+	// service has.
+	minFailRate = 0.01
+	// slowFraction is the fraction of the responses of the version in service that count as slow.
+	slowFraction = 0.3
+	// sumBound is the value that makes a version bad: the logarithm of the odds of a bad version against a
+	// good one. It gives 1 false verdict in 3,000 per sum, and there are a dozen sums.
+	sumBound = 10.0
+	// sumBoundOneGroup is sumBound where all responses are of one group of upstreams.
+	sumBoundOneGroup = 13.0
+	// withoutWorstShare is the part of the bound that a sum has to reach without its worst group.
+	withoutWorstShare = 0.55
+	// baselineSize is the number of responses of the version in service that its rates cover, and
+	// minBaseline the number that a comparison needs. A fault that has just started shows first in the last
+	// recentSize responses: the higher of both rates counts.
+	baselineSize = 300.0
+	recentSize   = 50.0
+	minBaseline  = 15.0
+	// A version is clear of failures while the evidence for it is at least clearThreshold: about thirty
+	// responses without a failure. The sum falls no further than clearFloor, so that failures that start late
+	// count.
+	clearThreshold = -2.0
+	clearFloor     = -3.0
+	// Once the target gets nearly all requests, there is no baseline to compare with, and only what no fault
+	// common to all upstreams explains counts. The unmatched rates and margins replace the others when
+	// maxUnmatched responses of the target exceed baselineWeight times those of the version in service.
+	maxUnmatched        = 60.0
+	baselineWeight      = 4.0
+	unmatchedFailRate   = 0.05
+	unmatchedFailMargin = 0.25
+	unmatchedSlowMargin = 0.5
 )
 
-// Reason is what a version was found to be bad by.
+// Reason says in which respect a version was found to be bad.
 type Reason int
 
 // The reasons.
@@ -81,59 +80,59 @@
 	return [...]string{"none", "fails", "slow", "slow_pace"}[r]
 }
 
-// Verdict is what a judge has found, with the figures that decide.
+// Verdict is the finding of a Judge, with the figures that decide it.
 type Verdict struct {
-	Bad    bool
-	Reason Reason  // of the largest sum
-	Route  string  // of the largest sum; empty: all routes
-	Sum    float64 // the largest one, as a part of its bound
-	TargetRate float64 // rate at the target in what was taken in last
+	Bad           bool
+	Reason        Reason  // of the largest sum
+	Route         string  // of the largest sum; empty for all routes
+	Sum           float64 // the largest sum, as a part of its bound
+	TargetRate    float64 // rate at the target in the last responses added
 	InServiceRate float64 // rate at the version in service
 }
 
-// Judge takes in growing tallies. Its zero value has seen nothing.
+// Judge evaluates growing tallies. Its zero value is ready for use.
 type Judge struct {
-	seen   Tally // the most that was ever told, by cell
-	routes map[string]*series
-	worst  Verdict
+	counted Tally // the largest counts reported so far, by cell
+	routes  map[string]*series
+	worst   Verdict
 }
 
-// allRoutes is the series over all routes.
+// allRoutes is the key of the series over all routes.
 const allRoutes = ""
 
-// Take takes in a tally, and returns what is found by it. A tally that lacks what was told
-// before adds nothing until it has more.
-func (j *Judge) Take(t Tally) Verdict {
-	if j.seen == nil {
-		j.seen, j.routes = make(Tally), make(map[string]*series)
+// Add adds what has grown in a tally since the largest counts so far, and returns the worst verdict. A tally
+// that lacks counts of an earlier one adds nothing until it exceeds them.
+func (j *Judge) Add(t Tally) Verdict {
+	if j.counted == nil {
+		j.counted, j.routes = make(Tally), make(map[string]*series)
 	}
 	var all Row
 	for route, r := range t {
-		d := j.grown(route, r)
+		d := j.growth(route, r)
 		for i := range d {
 			all[i].plus(&d[i])
 		}
-		j.take(route, &d)
+		j.addRow(route, &d)
 	}
 	if len(t) > 1 {
-		j.take(allRoutes, &all)
+		j.addRow(allRoutes, &all)
 	}
 	return j.worst
 }
 
-// grown is what is new of a route.
-func (j *Judge) grown(route string, r *Row) Row {
-	seen := j.seen.row(route)
+// growth returns and records what is new of a route.
+func (j *Judge) growth(route string, r *Row) Row {
+	counted := j.counted.row(route)
 	var d Row
 	for i := range r {
-		d[i] = r[i].beyond(&seen[i])
-		seen[i].plus(&d[i])
+		d[i] = r[i].growthOver(&counted[i])
+		counted[i].plus(&d[i])
 	}
 	return d
 }
 
-// beyond is what a cell has beyond another one.
-func (c *Cell) beyond(o *Cell) Cell {
+// growthOver returns the counts of c beyond those of o.
+func (c *Cell) growthOver(o *Cell) Cell {
 	d := Cell{Responses: max(0, c.Responses-o.Responses), Failed: max(0, c.Failed-o.Failed)}
 	for i := range c.First {
 		d.First[i] = max(0, c.First[i]-o.First[i])
@@ -142,13 +141,13 @@
 	return d
 }
 
-func (j *Judge) take(route string, d *Row) {
+func (j *Judge) addRow(route string, d *Row) {
 	s := j.routes[route]
 	if s == nil {
 		s = &series{}
 		j.routes[route] = s
 	}
-	for reason, v := range s.take(d) {
+	for reason, v := range s.add(d) {
 		if v.Reason = Reason(reason); v.Reason == ReasonNone {
 			continue
 		}
@@ -159,7 +158,7 @@
 	}
 }
 
-// Clear tells whether the target's newest answers speak for it, and not just nothing against.
+// Clear returns whether the target's newest responses are evidence for it, and not just no evidence against it.
 func (j *Judge) Clear() bool {
 	s := j.routes[allRoutes]
 	for _, v := range j.routes {
@@ -170,123 +169,123 @@
 	return s != nil && s[ReasonFails].isClear()
 }
 
-// Suspicion returns the largest sum now, as a part of its bound.
+// Suspicion returns the largest current sum, as a part of its bound.
 func (j *Judge) Suspicion() float64 {
 	most := 0.0
 	for _, s := range j.routes {
 		for i := range s {
-			most = math.Max(most, s[i].part())
+			most = math.Max(most, s[i].boundShare())
 		}
 	}
 	return most
 }
 
-// series is the sums of one route, by reason.
-type series [ReasonSlowPace + 1]sums
+// series holds the sums of one route, by reason.
+type series [ReasonSlowPace + 1]cusum
 
-// take takes in what is new, and returns what each sum has come to.
-func (s *series) take(d *Row) [ReasonSlowPace + 1]Verdict {
+// add adds what is new, and returns the state of each sum.
+func (s *series) add(d *Row) [ReasonSlowPace + 1]Verdict {
 	var v [ReasonSlowPace + 1]Verdict
-	v[ReasonFails] = s[ReasonFails].fails(d)
-	v[ReasonSlow] = s[ReasonSlow].slow(d, func(c *Cell) *Histogram { return &c.First })
-	v[ReasonSlowPace] = s[ReasonSlowPace].slow(d, func(c *Cell) *Histogram { return &c.Pace })
+	v[ReasonFails] = s[ReasonFails].addFailures(d)
+	v[ReasonSlow] = s[ReasonSlow].addTimes(d, func(c *Cell) *Histogram { return &c.First })
+	v[ReasonSlowPace] = s[ReasonSlowPace].addTimes(d, func(c *Cell) *Histogram { return &c.Pace })
 	return v
 }
 
-// sums is one test: the sum over all groups, and those without one of them.
-type sums struct {
-	all     float64
-	clear   [groups]float64 // without each group, in which it may fall to clearLeast
-	without [groups]float64
-	groups  [groups]bool // that had answers
-	old     recent       // answers of the version in service
-	last    recent       // the newest of these
-	lone    float64      // answers of the target that had none of the others beside them
+// cusum is one test: the sum over all groups, and the sums that leave out one group each.
+type cusum struct {
+	total          float64
+	clearance      [groups]float64 // without each group; may fall to clearFloor
+	withoutGroup   [groups]float64
+	seenGroups     [groups]bool   // groups that had responses
+	baseline       decayingCounts // responses of the version in service
+	recentBaseline decayingCounts // the newest of these
+	unmatched      float64        // responses of the target beyond those that the version in service matches
 }
 
-// recent is the newest answers, each counting the less the older it is.
-type recent struct {
-	answers float64
-	failed  float64
-	times   [buckets]float64
+// decayingCounts counts the newest responses, each with less weight the older it is.
+type decayingCounts struct {
+	count  float64
+	failed float64
+	times  [buckets]float64
 }
 
-// forget lets the newest of so many answers count most. They don't run out when no more come.
-func (v *recent) forget(more, most float64) {
+// decay makes room for more counts within a size of most. Without new responses nothing decays.
+func (v *decayingCounts) decay(more, most float64) {
 	keep := math.Max(0, 1-more/most)
-	v.answers *= keep
+	v.count *= keep
 	v.failed *= keep
 	for i := range v.times {
 		v.times[i] *= keep
 	}
 }
 
-// take takes in answers, of which some failed.
-func (v *recent) take(most, answers, failed float64) {
-	v.forget(answers, most)
-	v.answers += answers
+// addResponses adds responses, of which some failed.
+func (v *decayingCounts) addResponses(most, responses, failed float64) {
+	v.decay(responses, most)
+	v.count += responses
 	v.failed += failed
 }
 
-// takeTimes takes in times.
-func (v *recent) takeTimes(most float64, h *Histogram) {
+// addTimes adds times.
+func (v *decayingCounts) addTimes(most float64, h *Histogram) {
 	n := h.sum()
-	v.forget(n, most)
-	v.answers += n
+	v.decay(n, most)
+	v.count += n
 	for i, x := range h {
 		v.times[i] += float64(x)
 	}
 }
 
-// rate is the share of so many of the answers.
-func (v *recent) rate(of float64) float64 { return (of + 0.5) / (v.answers + 1) }
+// rate returns the share that n has of the counts, smoothed for small counts.
+func (v *decayingCounts) rate(n float64) float64 { return (n + 0.5) / (v.count + 1) }
 
-// from is how many of the times are of a step or beyond.
-func (v *recent) from(step int) float64 {
+// countFrom returns how many of the times are in the given bucket or beyond.
+func (v *decayingCounts) countFrom(bucket int) float64 {
 	sum := 0.0
-	for _, x := range v.times[step:] {
+	for _, x := range v.times[bucket:] {
 		sum += x
 	}
 	return sum
 }
 
-// odds are the rates that a test tells apart.
-type odds struct{ good, bad float64 }
+// hypotheses are the two rates that a test distinguishes.
+type hypotheses struct{ good, bad float64 }
 
-// of is what so many answers, of which some were bad ones, add to a sum.
-func (o odds) of(bad, all float64) float64 {
-	good := math.Max(0, all-bad) // an answer may break off later than it was counted
+// logRatio returns what a number of responses, of which some were bad, add to a sum.
+func (o hypotheses) logRatio(bad, all float64) float64 {
+	good := math.Max(0, all-bad) // a failure may be counted after its response was
 	return bad*math.Log(o.bad/o.good) + good*math.Log((1-o.bad)/(1-o.good))
 }
 
-func (s *sums) fails(d *Row) Verdict {
+func (s *cusum) addFailures(d *Row) Verdict {
 	n, failed := float64(d[groupInService].Responses), float64(d[groupInService].Failed)
-	s.old.take(newest, n, failed)
-	s.last.take(lately, n, failed)
-	if s.old.answers < leastKnown {
+	s.baseline.addResponses(baselineSize, n, failed)
+	s.recentBaseline.addResponses(recentSize, n, failed)
+	if s.baseline.count < minBaseline {
 		return Verdict{}
 	}
-	p := math.Max(s.old.rate(s.old.failed), s.last.rate(s.last.failed)-1/lately)
-	p = math.Min(0.7, math.Max(leastFailing, p))
-	o, target := odds{p, p + failMargin}, d.target()
-	if s.alone(n, float64(target.Responses)) {
-		p = math.Max(p, aloneFailing)
-		o = odds{p, p + aloneFailMargin}
+	p := math.Max(s.baseline.rate(s.baseline.failed), s.recentBaseline.rate(s.recentBaseline.failed)-1/recentSize)
+	p = math.Min(0.7, math.Max(minFailRate, p))
+	o, target := hypotheses{p, p + failMargin}, d.target()
+	if s.uncomparable(n, float64(target.Responses)) {
+		p = math.Max(p, unmatchedFailRate)
+		o = hypotheses{p, p + unmatchedFailMargin}
 	}
 	return s.add(o, d, func(c *Cell) (bad, all float64) { return float64(c.Failed), float64(c.Responses) })
 }
 
-func (s *sums) slow(d *Row, of func(c *Cell) *Histogram) Verdict {
-	s.old.takeTimes(newest, of(&d[groupInService]))
-	s.last.takeTimes(lately, of(&d[groupInService]))
-	if s.old.answers < leastKnown {
+func (s *cusum) addTimes(d *Row, of func(c *Cell) *Histogram) Verdict {
+	s.baseline.addTimes(baselineSize, of(&d[groupInService]))
+	s.recentBaseline.addTimes(recentSize, of(&d[groupInService]))
+	if s.baseline.count < minBaseline {
 		return Verdict{}
 	}
 	from := s.slowFrom()
-	p := math.Max(leastFailing, math.Max(s.old.rate(s.old.from(from)), s.last.rate(s.last.from(from))-1/lately))
-	o, target := odds{math.Min(0.7, p), math.Min(0.95, p+slowMargin)}, d.target()
-	if s.alone(of(&d[groupInService]).sum(), of(&target).sum()) {
-		o = odds{math.Min(0.45, p), math.Min(0.95, p+aloneSlowMargin)}
+	p := math.Max(minFailRate, math.Max(s.baseline.rate(s.baseline.countFrom(from)), s.recentBaseline.rate(s.recentBaseline.countFrom(from))-1/recentSize))
+	o, target := hypotheses{math.Min(0.7, p), math.Min(0.95, p+slowMargin)}, d.target()
+	if s.uncomparable(of(&d[groupInService]).sum(), of(&target).sum()) {
+		o = hypotheses{math.Min(0.45, p), math.Min(0.95, p+unmatchedSlowMargin)}
 	}
 	return s.add(o, d, func(c *Cell) (bad, all float64) {
 		for i, x := range of(c) {
@@ -299,61 +298,62 @@
 	})
 }
 
-// alone takes in answers of both sides, and tells whether the target's have too few of the
-// others' beside them to be compared.
-func (s *sums) alone(others, target float64) bool {
-	s.lone = math.Max(0, s.lone+target-aloneWeight*others)
-	return s.lone > alone
+// uncomparable adds the responses of both sides, and returns whether the version in service has too few of
+// them to compare the target with.
+func (s *cusum) uncomparable(inService, target float64) bool {
+	s.unmatched = math.Max(0, s.unmatched+target-baselineWeight*inService)
+	return s.unmatched > maxUnmatched
 }
 
-// slowFrom is the first step of times that counts as slow.
-func (s *sums) slowFrom() int {
+// slowFrom returns the first bucket of times that counts as slow.
+func (s *cusum) slowFrom() int {
 	from := buckets
-	for from > 0 && s.old.from(from-1) <= slowShare*s.old.answers {
+	for from > 0 && s.baseline.countFrom(from-1) <= slowFraction*s.baseline.count {
 		from--
 	}
 	return from
 }
 
-// add adds what is new at the target.
-func (s *sums) add(o odds, d *Row, count func(c *Cell) (bad, all float64)) Verdict {
+// add adds the new responses of the target.
+func (s *cusum) add(o hypotheses, d *Row, count func(c *Cell) (bad, all float64)) Verdict {
 	var x [groups]float64
 	bad, all, gained := 0.0, 0.0, 0.0
 	for g := groupInService + 1; g < groups; g++ {
 		b, n := count(&d[g])
-		x[g] = o.of(b, n)
-		s.groups[g] = s.groups[g] || n > 0
+		x[g] = o.logRatio(b, n)
+		s.seenGroups[g] = s.seenGroups[g] || n > 0
 		bad, all, gained = bad+b, all+n, gained+x[g]
 	}
-	s.all = math.Max(0, s.all+gained)
+	s.total = math.Max(0, s.total+gained)
 	for g := groupInService + 1; g < groups; g++ {
-		s.without[g] = math.Max(0, s.without[g]+gained-x[g])
-		s.clear[g] = math.Max(clearLeast, s.clear[g]+gained-x[g])
+		s.withoutGroup[g] = math.Max(0, s.withoutGroup[g]+gained-x[g])
+		s.clearance[g] = math.Max(clearFloor, s.clearance[g]+gained-x[g])
 	}
-	return Verdict{Bad: s.part() >= 1, Sum: s.part(), TargetRate: bad / math.Max(1, all), InServiceRate: o.good}
+	return Verdict{Bad: s.boundShare() >= 1, Sum: s.boundShare(), TargetRate: bad / math.Max(1, all), InServiceRate: o.good}
 }
 
-// isClear tells whether the newest answers, or those without some group, speak for the target.
-func (s *sums) isClear() bool {
+// isClear returns whether the newest responses, or those without one of the groups, are evidence for the
+// target.
+func (s *cusum) isClear() bool {
 	for g := groupInService + 1; g < groups; g++ {
-		if s.clear[g] <= clearAt {
+		if s.clearance[g] <= clearThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// part is how much of the bound is reached.
-func (s *sums) part() float64 {
+// boundShare returns the part of the bound that is reached.
+func (s *cusum) boundShare() float64 {
 	seen, least := 0, math.Inf(1)
 	for g := groupInService + 1; g < groups; g++ {
-		if s.groups[g] {
+		if s.seenGroups[g] {
 			seen++
-			least = math.Min(least, s.without[g])
+			least = math.Min(least, s.withoutGroup[g])
 		}
 	}
 	if seen < 2 {
-		return s.all / boundAlone
+		return s.total / sumBoundOneGroup
 	}
-	return math.Min(s.all/bound, least/(withoutWorst*bound))
+	return math.Min(s.total/sumBound, least/(withoutWorstShare*sumBound))
 }
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -5,39 +5,38 @@
 	"slices"
 )
 
-// This file counts what answers were like. Counts only grow and add up, so they can be told
-// by any number of nodes in any order, and their bytes don't grow with the fleet: a cell a
-// route and a group of upstreams.
+// This file counts responses. Counts only grow and add up, so any number of nodes can report them in any
+// order, and their size does not grow with the fleet: one cell per route and group of upstreams.
 //
-// The target's upstreams fall into groups, so that one that is ill can be told apart from a
-// version that is bad: see judge.go.
+// The target's upstreams are split into groups, so that an unhealthy upstream can be told apart from a bad
+// version: see judge.go.
 //
-// Weighed: quantile sketches of a library. They are exact to a few hundredths, and ten times
-// the bytes; the question here is only whether a version is twice as slow, for which steps of
-// a factor of 1.4 do.
+// Alternatives considered: quantile sketches from a library. They are exact to a few hundredths and take ten
+// times the bytes; the question here is only whether a version is twice as slow, for which buckets of a factor
+// of 1.4 are enough.
 
 const (
-	// groupInService is the cell of the version in service; the target's follow.
+	// groupInService is the cell of the version in service; the target's cells follow.
 	groupInService = 0
-	// targetGroups is the groups that the target's upstreams fall into: one of four that is
-	// ill leaves three to judge by.
+	// targetGroups is the number of groups of the target's upstreams: with one of four unhealthy, three are
+	// left to judge by.
 	targetGroups = 4
 	groups       = 1 + targetGroups
-	// buckets and bucketsAnOctave cover times from a 16th of the expected one to 64 times it.
-	buckets         = 20
-	bucketsAnOctave = 2
-	lowestOctave    = -4
+	// buckets and bucketsPerOctave cover times from a 16th of the expected one to 64 times it.
+	buckets          = 20
+	bucketsPerOctave = 2
+	lowestOctave     = -4
 )
 
-// Histogram counts times, in steps of a factor of the square root of two.
+// Histogram counts times, in buckets of a factor of the square root of two.
 type Histogram [buckets]int64
 
-// add counts one time, relative to what was expected.
+// add counts one time, relative to the expected one.
 func (h *Histogram) add(x float64) {
 	if x <= 0 || math.IsNaN(x) {
 		return
 	}
-	i := int(math.Floor(bucketsAnOctave * (math.Log2(x) - lowestOctave)))
+	i := int(math.Floor(bucketsPerOctave * (math.Log2(x) - lowestOctave)))
 	h[min(max(i, 0), buckets-1)]++
 }
 
@@ -47,7 +46,7 @@
 	}
 }
 
-// Counts returns a copy of the counts, up to the last step that has any.
+// Counts returns a copy of the counts, up to the last bucket that is not empty.
 func (h *Histogram) Counts() []int64 {
 	n := len(h)
 	for n > 0 && h[n-1] == 0 {
@@ -56,14 +55,14 @@
 	return slices.Clone(h[:n])
 }
 
-// HistogramOf returns the histogram of such counts; what is beyond its steps is passed over.
+// HistogramOf returns the histogram of such counts. Counts beyond its buckets are ignored.
 func HistogramOf(counts []int64) Histogram {
 	var h Histogram
 	copy(h[:], counts)
 	return h
 }
 
-// sum is how many times there are.
+// sum returns the number of times counted.
 func (h *Histogram) sum() float64 {
 	n := 0.0
 	for _, x := range h {
@@ -72,12 +71,12 @@
 	return n
 }
 
-// Cell is the answers of one route at one group of upstreams.
+// Cell counts the responses of one route from one group of upstreams.
 type Cell struct {
-	Responses int64     // that have begun, or failed before
-	Failed  int64     // of these: failures, and answers that broke off, maybe later
-	First   Histogram // times to the first event, or to the head
-	Pace    Histogram // pauses between the first events of a stream
+	Responses int64     // that have started, or failed before
+	Failed    int64     // of these: failures, and responses that broke off, possibly later
+	First     Histogram // times to the first event, or to the head
+	Pace      Histogram // pauses between the first events of a stream
 }
 
 func (c *Cell) plus(o *Cell) {
@@ -90,7 +89,7 @@
 // Row is the cells of one route.
 type Row [groups]Cell
 
-// target is the sum of the target's cells.
+// target returns the sum of the target's cells.
 func (r *Row) target() Cell {
 	var c Cell
 	for i := groupInService + 1; i < groups; i++ {
@@ -99,10 +98,10 @@
 	return c
 }
 
-// Tally is what answers were like, by route.
+// Tally counts responses by route.
 type Tally map[string]*Row
 
-// row returns a route's cells to be changed.
+// row returns a route's cells for changing; it adds them if they are missing.
 func (t Tally) row(route string) *Row {
 	r := t[route]
 	if r == nil {
@@ -112,7 +111,7 @@
 	return r
 }
 
-// Cells calls f for each cell that has anything.
+// Cells calls f for each cell that is not empty.
 func (t Tally) Cells(f func(route string, group int, c *Cell)) {
 	for route, r := range t {
 		for i := range r {
@@ -123,8 +122,8 @@
 	}
 }
 
-// Set sets a cell; a group that there isn't is passed over. A cell that has nothing makes no row: such
-// a tally would be told without it, and what is heard would differ from what was meant.
+// Set sets a cell; an unknown group is ignored. An empty cell adds no row: such a tally would be sent without
+// the row, and the receiver's copy would differ from the original.
 func (t Tally) Set(route string, group int, c Cell) {
 	if group < 0 || group >= groups || t[route] == nil && c == (Cell{}) {
 		return
@@ -132,7 +131,7 @@
 	t.row(route)[group] = c
 }
 
-// Plus returns the sum of both, which shares nothing with them.
+// Plus returns the sum of both, which shares no memory with them.
 func (t Tally) Plus(o Tally) Tally {
 	s := make(Tally, max(len(t), len(o)))
 	s.add(t)
@@ -149,7 +148,7 @@
 	}
 }
 
-// Responses returns how many answers of the target there are, and how many of them failed.
+// Responses returns the number of the target's responses, and how many of them failed.
 func (t Tally) Responses() (all, failed int64) {
 	for _, r := range t {
 		c := r.target()
@@ -159,5 +158,5 @@
 	return all, failed
 }
 
-// groupOf is the group of the target's upstream of that rank; nodes rank them alike.
+// groupOf returns the group of the target's upstream of a rank. All nodes rank the upstreams in the same way.
 func groupOf(rank int) int { return 1 + rank%targetGroups }
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -2,134 +2,131 @@
 
 import "time"
 
-// This file is one node's side of a roll-out: which of its requests go to the target, what it
-// has seen, and when it stops by itself.
+// This file is one node's side of a roll-out: which of its requests go to the target, what it has observed, and
+// when it stops by itself.
 //
-// A request may go to the target when its route's credit has come to a whole one; each
-// request of the route adds the stage's share. So a node that has had few requests sends few,
-// and the fleet's sum is the share of what came, without a word between nodes. A route begins
-// with a part of a credit that is drawn evenly: on average exactly the share of the first n
-// requests is offered then, whatever n is, also at a process that is killed again and again.
-// Beginning with none, all of 70 nodes would be silent until each has had a dozen requests.
+// A request may go to the target when its route's credit has reached one; each request of the route adds the
+// stage's share. So a node that has had few requests sends few, and the fleet's sum is the share of all
+// requests, without communication between nodes. A route starts with a part of a credit that is drawn
+// uniformly: on average exactly the share of the first n requests is sent then, whatever n is, also at a
+// process that is killed again and again. If routes started without credit, none of 70 nodes would send a
+// request until each has had a dozen.
 
 const (
-	// trialPart is the part of the allowed exposure that the first stage uses. The rest is
-	// for a version that turns bad when it is given more: the steps, and what is sent while
-	// the answers that show it are on their way.
-	trialPart = 0.7
-	// defaultExposure is the exposure allowed where the operators don't say.
+	// trialExposureShare is the part of the allowed exposure that the first stage uses. The rest is for a
+	// version that turns bad when its share rises: the steps, and what is sent while the responses that show
+	// the fault are on their way.
+	trialExposureShare = 0.7
+	// defaultExposure is the allowed exposure where the operators set none.
 	defaultExposure = 0.1
-	// signKeeps is how long a sign of life of the duties' holder counts: it gives one each
-	// quarter of a second, which is under a second on its way through the relays, and one or
-	// two may be lost.
-	signKeeps = 2 * time.Second
+	// keepAliveTimeout is how long a keep-alive of the duties' holder counts. The holder issues one every
+	// 250 ms, it takes less than a second through the relays, and one or two may be lost.
+	keepAliveTimeout = 2 * time.Second
 )
 
-// Response is what is new of an answer of an upstream. One that begins and breaks off later is
-// noted twice.
+// Response is what is new of an upstream's response. One that starts and breaks off later is observed twice.
 type Response struct {
-	Started  bool    // its first event or head has come
-	Failed bool    // it failed
-	AfterStart  bool    // after it had begun
-	First  float64 // time to the first event or the head, as a part of what was expected; 0: not known
-	Pace   float64 // pause between the first events, in milliseconds; 0: not known
+	Started    bool    // its first event or head has arrived
+	Failed     bool    // it failed
+	AfterStart bool    // it failed after it had started
+	First      float64 // time to the first event or the head, as a part of the expected time; 0 if unknown
+	Pace       float64 // pause between the first events, in milliseconds; 0 if unknown
 }
 
 // Trial is one node's side of one order. It isn't safe for concurrent use.
 type Trial struct {
-	order   Order
-	share   float64 // of the first stage
-	seed    func(route string) float64
-	stage   Stage
-	since   time.Time // when this node learned of the stage
-	sign    KeepAlive
-	signed  time.Time // when the newest sign came; zero: none has
-	stopped bool
-	verdict Verdict
-	credits map[string]float64
-	own     Tally
-	others  Tally
-	judge   Judge
+	order         Order
+	share         float64 // of the first stage
+	initialCredit func(route string) float64
+	stage         Stage
+	since         time.Time // when this node learned of the stage
+	keepAlive     KeepAlive
+	keepAliveAt   time.Time // when the newest keep-alive arrived; zero if none has
+	stopped       bool
+	verdict       Verdict
+	credits       map[string]float64
+	ownTally      Tally
+	peerTally     Tally
+	judge         Judge
 }
 
-// NewTrial returns a node's side of an order. exposure is the part of a service's requests
-// that an untried version may get; 0 leaves it to this package. seed draws the credit that a
-// route begins with, from 0 to 1.
-func NewTrial(o Order, exposure float64, seed func(route string) float64) *Trial {
+// NewTrial returns a node's side of an order. exposure is the part of a service's requests that an untried
+// version may get; 0 selects the default. initialCredit draws the credit that a route starts with, from 0 to 1.
+func NewTrial(o Order, exposure float64, initialCredit func(route string) float64) *Trial {
 	if exposure <= 0 {
 		exposure = defaultExposure
 	}
-	return &Trial{order: o, share: trialPart * exposure, seed: seed, credits: make(map[string]float64), own: make(Tally), others: make(Tally)}
+	return &Trial{order: o, share: trialExposureShare * exposure, initialCredit: initialCredit, credits: make(map[string]float64), ownTally: make(Tally), peerTally: make(Tally)}
 }
 
-// Order returns what was ordered.
+// Order returns the order.
 func (t *Trial) Order() Order { return t.order }
 
-// Renumber goes on under the revision that the order has now.
+// Renumber continues the trial under the revision that the order has now.
 func (t *Trial) Renumber(revision int64) { t.order.Revision = revision }
 
-// Stage returns how far the roll-out has come, as this node knows.
+// Stage returns how far the roll-out has advanced, as this node knows.
 func (t *Trial) Stage() Stage { return t.stage }
 
 // Since returns when this node learned of the stage.
 func (t *Trial) Since() time.Time { return t.since }
 
-// Stopped tells whether this node, or one that it has heard of, has seen enough.
+// Stopped returns whether this node, or one whose update it has received, has found the target to be bad.
 func (t *Trial) Stopped() bool { return t.stopped }
 
-// Verdict returns what this node finds.
+// Verdict returns this node's finding.
 func (t *Trial) Verdict() Verdict { return t.verdict }
 
-// Suspicion returns how much speaks against the target now, from 0 to 1 and beyond.
+// Suspicion returns the current evidence against the target, from 0 to 1 and beyond.
 func (t *Trial) Suspicion() float64 { return t.judge.Suspicion() }
 
-// Clear tells whether the target's newest answers speak for it.
+// Clear returns whether the target's newest responses are evidence for it.
 func (t *Trial) Clear() bool { return t.judge.Clear() }
 
-// Total is all that this node knows of the answers.
-func (t *Trial) Total() Tally { return t.own.Plus(t.others) }
+// Total returns the counts of all responses that this node knows of.
+func (t *Trial) Total() Tally { return t.ownTally.Plus(t.peerTally) }
 
-// Update is what this node tells: what it has seen itself, and what is known to all.
+// Update returns what this node reports: its own counts, and the state that all nodes share.
 func (t *Trial) Update() Update {
-	return Update{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, KeepAlive: t.sign, Stopped: t.stopped, Tally: t.own}
+	return Update{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, KeepAlive: t.keepAlive, Stopped: t.stopped, Tally: t.ownTally}
 }
 
-// IssueKeepAlive gives a sign of life, as the holder of the duties.
+// IssueKeepAlive issues a keep-alive; only the holder of the duties calls it.
 func (t *Trial) IssueKeepAlive(now time.Time, term int64) {
 	s := KeepAlive{Term: term, Sequence: 1}
-	if t.sign.Term == term {
-		s.Sequence = t.sign.Sequence + 1
+	if t.keepAlive.Term == term {
+		s.Sequence = t.keepAlive.Sequence + 1
 	}
-	t.take(now, s)
+	t.applyKeepAlive(now, s)
 }
 
-// AdvanceTo takes in a stage that stands in the store.
+// AdvanceTo sets a stage that the store holds. An earlier stage than the current one changes nothing.
 func (t *Trial) AdvanceTo(now time.Time, s Stage) {
 	if s > t.stage {
 		t.stage, t.since = s, now
 	}
 }
 
-// ApplyUpdate takes in what is known of this order elsewhere, and tells whether the node stops by it.
-// What the word tells of answers is that of all other nodes that it covers.
+// ApplyUpdate merges the state of this order as other nodes report it. It does not use the tally of w, which
+// counts the responses of the other nodes: see SetPeerTally.
 func (t *Trial) ApplyUpdate(now time.Time, w Update) {
 	if w.Order != t.order.Revision {
 		return
 	}
 	t.AdvanceTo(now, w.Stage)
 	t.stopped = t.stopped || w.Stopped
-	t.take(now, w.KeepAlive)
+	t.applyKeepAlive(now, w.KeepAlive)
 }
 
-// SetPeerTally sets what all other nodes have seen, and judges anew. It tells whether this made the
-// node stop.
+// SetPeerTally sets what all other nodes have counted, and evaluates the target again. It returns whether this
+// made the node stop.
 func (t *Trial) SetPeerTally(sum Tally) bool {
-	t.others = sum
-	return t.judgeNow()
+	t.peerTally = sum
+	return t.evaluate()
 }
 
-func (t *Trial) judgeNow() bool {
-	t.verdict = t.judge.Take(t.Total())
+func (t *Trial) evaluate() bool {
+	t.verdict = t.judge.Add(t.Total())
 	if !t.verdict.Bad || t.stopped || t.stage.Ended() {
 		return false
 	}
@@ -137,19 +134,19 @@
 	return true
 }
 
-func (t *Trial) take(now time.Time, s KeepAlive) {
-	if s.newer(t.sign) {
-		t.sign, t.signed = s, now
+func (t *Trial) applyKeepAlive(now time.Time, s KeepAlive) {
+	if s.newer(t.keepAlive) {
+		t.keepAlive, t.keepAliveAt = s, now
 	}
 }
 
-// HasKeepAlive tells whether the holder of the duties was heard of lately.
+// HasKeepAlive returns whether a keep-alive of the duties' holder arrived recently.
 func (t *Trial) HasKeepAlive(now time.Time) bool {
-	return !t.signed.IsZero() && now.Sub(t.signed) <= signKeeps
+	return !t.keepAliveAt.IsZero() && now.Sub(t.keepAliveAt) <= keepAliveTimeout
 }
 
-// TakeCredit counts a request that comes to the service, and tells whether it goes to the target
-// on trial.
+// TakeCredit adds a request of the service to its route's credit, and returns whether the request goes to the
+// target on trial.
 func (t *Trial) TakeCredit(now time.Time, route string) bool {
 	s := t.stage.share(t.share)
 	if s == 0 || t.stopped || !t.HasKeepAlive(now) {
@@ -157,7 +154,7 @@
 	}
 	c, ok := t.credits[route]
 	if !ok {
-		c = t.seed(route)
+		c = t.initialCredit(route)
 	}
 	c += s
 	if c < 1 {
@@ -168,19 +165,19 @@
 	return true
 }
 
-// ReturnCredit gives back what was offered and not sent.
+// ReturnCredit returns the credit of a request that was not sent to the target after all.
 func (t *Trial) ReturnCredit(route string) { t.credits[route] = min(t.credits[route]+1, 1) }
 
-// Side is which upstreams of a service take what isn't offered to the target.
+// Side says which upstreams of a service take the requests that do not go to the target on trial.
 type Side int
 
 // The sides.
 const (
 	SideInService Side = iota // the version in service only
-	SideTarget                // the target, if any of it is there
+	SideTarget                // the target, if it has any upstreams
 )
 
-// Side returns which upstreams take requests.
+// Side returns which upstreams take these requests.
 func (t *Trial) Side(now time.Time) Side {
 	switch {
 	case t.stage == StageCompleted:
@@ -191,20 +188,20 @@
 	return SideInService
 }
 
-// TrialUpstreams is how many upstreams of the target take requests on trial, where so many of the
-// version in service do: each is as full as one of these.
+// TrialUpstreams returns how many upstreams of the target take requests on trial, given the number of those of
+// the version in service: each is then as loaded as one of these.
 func (t *Trial) TrialUpstreams(inService int) int {
 	return max(1, int(t.stage.share(t.share)*float64(inService)+0.5))
 }
 
-// Observe takes in an answer: of the target's upstream of that rank, or, with rank -1, of the
-// version in service. It tells whether this made the node stop.
+// Observe counts a response of the target's upstream of a rank or, with rank -1, of the version in service. It
+// returns whether this made the node stop.
 func (t *Trial) Observe(route string, rank int, a Response) bool {
 	g := groupInService
 	if rank >= 0 {
 		g = groupOf(rank)
 	}
-	c := &t.own.row(route)[g]
+	c := &t.ownTally.row(route)[g]
 	if a.Started || a.Failed && !a.AfterStart {
 		c.Responses++
 	}
@@ -212,10 +209,9 @@
 		c.Failed++
 	}
 	c.First.add(a.First)
-	c.Pace.add(a.Pace / paceUnit)
-	return rank >= 0 && t.judgeNow()
+	c.Pace.add(a.Pace / paceUnitMs)
+	return rank >= 0 && t.evaluate()
 }
 
-// paceUnit is the middle of the scale of pauses, in milliseconds: an engine makes an event of
-// three tokens in 20 to 100.
-const paceUnit = 40.0
+// paceUnitMs is the middle of the scale of pauses: an engine produces an event of three tokens in 20 to 100 ms.
+const paceUnitMs = 40.0
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -16,7 +16,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// onTrial is a node's side of an order whose first stage has begun.
+// onTrial returns a node's side of an order whose first stage has started.
 func onTrial(credit float64) *Trial {
 	t := NewTrial(order, 0.1, func(string) float64 { return credit })
 	t.AdvanceTo(start, StageTrial)
@@ -24,7 +24,7 @@
 	return t
 }
 
-// offered counts what of n requests goes to the target.
+// offered returns how many of n requests go to the target.
 func offered(t *Trial, n int) int {
 	k := 0
 	for i := 0; i < n; i++ {
@@ -42,7 +42,7 @@
 		v.AdvanceTo(start, StageFifth)
 		assert.Equal(t, 200, offered(v, 1000))
 	})
-	t.Run("each route its own", func(t *testing.T) {
+	t.Run("each route has its own credit", func(t *testing.T) {
 		v := onTrial(0)
 		for i := 0; i < 14; i++ {
 			assert.False(t, v.TakeCredit(start, "r"))
@@ -50,7 +50,7 @@
 		assert.True(t, v.TakeCredit(start, "r"))
 		assert.False(t, v.TakeCredit(start, "other"))
 	})
-	t.Run("what was given back is offered again, once", func(t *testing.T) {
+	t.Run("returned credit is used again, once", func(t *testing.T) {
 		v := onTrial(0.95)
 		assert.True(t, v.TakeCredit(start, "r"))
 		v.ReturnCredit("r")
@@ -58,20 +58,20 @@
 		assert.False(t, v.TakeCredit(start, "r"))
 	})
 	for name, change := range map[string]func(v *Trial){
-		"before the first stage":        func(v *Trial) { *v = *NewTrial(order, 0.1, func(string) float64 { return 0.99 }) },
-		"after the end":                 func(v *Trial) { v.AdvanceTo(start, StageRolledBack) },
-		"where somebody stopped":        func(v *Trial) { v.ApplyUpdate(start, Update{Order: 5, Stopped: true}) },
-		"without a sign of the holder":  func(v *Trial) { v.signed = at(-signKeeps - time.Millisecond) },
-		"where no sign has come at all": func(v *Trial) { v.signed = time.Time{} },
+		"before the first stage":                    func(v *Trial) { *v = *NewTrial(order, 0.1, func(string) float64 { return 0.99 }) },
+		"after the end":                             func(v *Trial) { v.AdvanceTo(start, StageRolledBack) },
+		"where another node stopped":                func(v *Trial) { v.ApplyUpdate(start, Update{Order: 5, Stopped: true}) },
+		"without a recent keep-alive of the holder": func(v *Trial) { v.keepAliveAt = at(-keepAliveTimeout - time.Millisecond) },
+		"where no keep-alive has ever arrived":      func(v *Trial) { v.keepAliveAt = time.Time{} },
 	} {
-		t.Run("nothing "+name, func(t *testing.T) {
+		t.Run("no requests "+name, func(t *testing.T) {
 			v := onTrial(0.99)
 			change(v)
 			assert.Zero(t, offered(v, 100))
 			assert.Equal(t, SideInService, v.Side(start))
 		})
 	}
-	t.Run("another order's word says nothing", func(t *testing.T) {
+	t.Run("an update of another order has no effect", func(t *testing.T) {
 		v := onTrial(0.5)
 		v.ApplyUpdate(start, Update{Order: 4, Stopped: true, Stage: StageRolledBack})
 		assert.Equal(t, StageTrial, v.Stage())
@@ -83,22 +83,22 @@
 	v := onTrial(0.5)
 	v.AdvanceTo(start, StageFull)
 	assert.Equal(t, SideTarget, v.Side(start))
-	assert.Equal(t, SideInService, v.Side(at(signKeeps+time.Millisecond)), "a node that hears of no holder goes back")
+	assert.Equal(t, SideInService, v.Side(at(keepAliveTimeout+time.Millisecond)), "a node without a keep-alive returns to the version in service")
 	v.AdvanceTo(start, StageCompleted)
-	assert.Equal(t, SideTarget, v.Side(at(time.Hour)), "the version before is gone")
+	assert.Equal(t, SideTarget, v.Side(at(time.Hour)), "the previous version has no upstreams left")
 }
 
-func TestSignsOfALaterTermCount(t *testing.T) {
+func TestKeepAlivesOfLaterTerm(t *testing.T) {
 	v := onTrial(0.5)
 	v.ApplyUpdate(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 9, Sequence: 1000}})
-	assert.False(t, v.HasKeepAlive(at(time.Minute)), "a deposed holder's")
+	assert.False(t, v.HasKeepAlive(at(time.Minute)), "it is from a holder of an earlier term")
 	v.ApplyUpdate(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 11, Sequence: 1}})
 	assert.True(t, v.HasKeepAlive(at(time.Minute)))
 }
 
-// TestExposure draws nodes that are killed and start anew, requests at whichever of them, and
-// checks in each moment that the fleet sends the target no more than the exposure allows,
-// beyond a slack that is far below one request a node.
+// TestExposure draws nodes that are killed and restarted and requests at any of them, and checks after each
+// request that the fleet sends the target no more than the exposure allows, plus a slack of a few requests
+// per node.
 func TestExposure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 70).Draw(t, "nodes")
@@ -123,15 +123,15 @@
 			if fleet[k].TakeCredit(start, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "route"))) {
 				sent++
 			}
-			// A credit that is drawn may let one request a node, route and process go early.
+			// The drawn initial credit may admit one request early for each node, route and process.
 			if bound := 0.07*float64(reached) + 3*float64(nodes) + 3*8; float64(sent) > bound {
-				t.Fatalf("%d of %d requests", sent, reached)
+				t.Fatalf("%d of %d requests went to the target, more than %.1f", sent, reached, bound)
 			}
 		}
 	})
 }
 
-// TestExposureOnAverage: over many draws the share is exact, however short processes live.
+// TestExposureOnAverage: on average the share is exact, however short processes run.
 func TestExposureOnAverage(t *testing.T) {
 	for _, life := range []int{1, 5, 100} {
 		reached, sent := 0, 0
@@ -166,7 +166,7 @@
 	assert.Equal(t, int64(3), answers)
 	assert.Equal(t, Update{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: list[0].Tally}, list[0])
 	answers, _ = own.Responses()
-	assert.Equal(t, int64(1), answers, "what was merged is left as it was")
+	assert.Equal(t, int64(1), answers, "the merged tallies are not changed")
 	list = Merge(list, []Update{{Service: "s", Order: 6, Tally: tally(4)}})
-	assert.Equal(t, StageWaiting, list[0].Stage, "a newer order takes the place")
+	assert.Equal(t, StageWaiting, list[0].Stage, "a newer order replaces the older one")
 }
