--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -1,15 +1,14 @@
-// Package autoscale decides which VMs a hall should have. It is pure: the hall as it
-// is and the time come in, orders and their reasons go out.
+// Package autoscale decides which VMs a hall should have. It is pure: the state of the hall and the time are
+// passed in, orders and their reasons are returned.
 //
-// Live work gets a floor of on-demand VMs, so that a reclaim wave slows it and
-// doesn't stop it; everything else is bought where a slot costs least, counting what
-// a reclaim throws away. No zone gets more than a share, since zones are reclaimed
-// whole. A refused start backs off for its zone and class, twice as long each time,
-// and the next best offer is tried at once.
+// Live work gets a floor of on-demand VMs, so that a reclaim wave slows it but does not stop it. All other
+// capacity is bought where a slot costs least, counting the work that a reclaim discards. No zone gets more
+// than a share, since zones are reclaimed as a whole. A refused start backs off for its zone and class, twice as
+// long each time, and the next best offer is tried at once.
 //
-// Starting on demand whenever reclaimable VMs are refused was weighed: it is the
-// quickest, and it is what makes a wave expensive. Here the floor is on demand and
-// the rest waits for the next best reclaimable offer, until live work is short.
+// Alternatives considered: starting on-demand VMs whenever reclaimable ones are refused. It is the fastest way
+// to get capacity, and it is what makes a wave expensive. Here the floor is on demand, and the rest waits for
+// the next best reclaimable offer until live work is short of slots.
 package autoscale
 
 import (
@@ -26,7 +25,7 @@
 	Reclaimable bool
 	Price       float64 // money per hour
 	Slots       int
-	Load        int // running and queued
+	Load        int // running and queued requests
 }
 
 // Offer is a kind of VM that the cloud may start.
@@ -39,54 +38,54 @@
 	ReclaimRate float64 // expected reclaims per hour
 }
 
-// Demand is what the pool has to serve, in slots in use on average.
+// Demand is the work that the pool has to serve, as the average number of slots in use.
 type Demand struct {
 	Live  float64
 	Batch float64
 }
 
-// Options sets a planner.
+// Options configures a Planner.
 type Options struct {
-	Headroom  float64       // slots per live slot in use
-	Floor     float64       // share of live slots that is on demand
-	ZoneShare float64       // largest share of the slots in one zone
-	Lost      float64       // hours of a VM's work that a reclaim throws away
-	Backoff   time.Duration // after the first refusal
-	Longest   time.Duration
-	Surplus   time.Duration // how long there must be too much before a VM is stopped
-	Starting  time.Duration // how long a start may take before it counts as lost
+	Headroom      float64       // slots per live slot in use
+	OnDemandFloor float64       // share of the live slots that has to be on demand
+	ZoneShare     float64       // largest share of the slots in one zone
+	LostHours     float64       // hours of a VM's work that a reclaim discards
+	Backoff       time.Duration // after the first refusal
+	MaxBackoff    time.Duration // upper limit of the back-off
+	SurplusDelay  time.Duration // how long a surplus must last before a VM is stopped
+	StartTimeout  time.Duration // how long a start may take before it counts as lost
 }
 
 // DefaultOptions returns the options for ordinary use.
 func DefaultOptions() Options {
 	return Options{
-		Headroom: 1.4, Floor: 0.5, ZoneShare: 0.5, Lost: 0.1,
-		Backoff: 30 * time.Second, Longest: 15 * time.Minute, Surplus: 10 * time.Minute, Starting: 5 * time.Minute,
+		Headroom: 1.4, OnDemandFloor: 0.5, ZoneShare: 0.5, LostHours: 0.1,
+		Backoff: 30 * time.Second, MaxBackoff: 15 * time.Minute, SurplusDelay: 10 * time.Minute, StartTimeout: 5 * time.Minute,
 	}
 }
 
-// Order is one thing to ask of the cloud.
+// Order is one request to the cloud.
 type Order struct {
-	Start *Offer
-	Stop  string // id of a VM
-	Reason   string
+	Start  *Offer
+	Stop   string // id of a VM
+	Reason string
 }
 
-// Planner remembers refusals and starts under way. It isn't safe for concurrent use.
+// Planner keeps refusals and pending starts. It isn't safe for concurrent use.
 type Planner struct {
-	o        Options
-	refusals map[Offer]*refusal
-	starting []start
-	surplus  time.Duration // since when there is too much
-	tooMuch  bool
+	o            Options
+	refusals     map[Offer]*refusal
+	starting     []pendingStart
+	surplusSince time.Duration // when the current surplus started
+	inSurplus    bool
 }
 
 type refusal struct {
-	times int
+	count int
 	until time.Duration
 }
 
-type start struct {
+type pendingStart struct {
 	offer Offer
 	since time.Duration
 }
@@ -94,24 +93,24 @@
 // New returns a planner.
 func New(o Options) *Planner { return &Planner{o: o, refusals: make(map[Offer]*refusal)} }
 
-// Refused notes that the cloud refused an offer.
+// Refused records that the cloud refused an offer.
 func (p *Planner) Refused(now time.Duration, f Offer) {
 	r := p.refusals[f]
 	if r == nil {
 		r = &refusal{}
 		p.refusals[f] = r
 	}
-	r.until = now + min(p.o.Backoff<<min(r.times, 10), p.o.Longest)
-	r.times++
+	r.until = now + min(p.o.Backoff<<min(r.count, 10), p.o.MaxBackoff)
+	r.count++
 }
 
-// Accepted notes that the cloud took a start order.
+// Accepted records that the cloud accepted a start order.
 func (p *Planner) Accepted(now time.Duration, f Offer) {
 	delete(p.refusals, f)
-	p.starting = append(p.starting, start{f, now})
+	p.starting = append(p.starting, pendingStart{f, now})
 }
 
-// Arrived notes that a VM of the offer's kind was listed.
+// Arrived records that a VM of the offer's kind was listed.
 func (p *Planner) Arrived(zone, class string, reclaimable bool) {
 	for i, s := range p.starting {
 		if s.offer.Zone == zone && s.offer.Class == class && s.offer.Reclaimable == reclaimable {
@@ -121,7 +120,7 @@
 	}
 }
 
-// supply sums up slots.
+// supply counts the slots of the pool, including those of pending starts.
 type supply struct {
 	all, onDemand float64
 	zones         map[string]float64
@@ -141,7 +140,7 @@
 	}
 	kept := p.starting[:0]
 	for _, v := range p.starting {
-		if now-v.since < p.o.Starting {
+		if now-v.since < p.o.StartTimeout {
 			kept = append(kept, v)
 			add(v.offer.Zone, v.offer.Reclaimable, v.offer.Slots)
 		}
@@ -150,15 +149,15 @@
 	return s
 }
 
-// maxOrders bounds the orders of one round, so that a wrong figure does little before
-// the next look.
+// maxOrders bounds the orders of one round, which limits the damage of a wrong measurement until the next
+// round.
 const maxOrders = 8
 
 // Plan returns the orders of this round.
 func (p *Planner) Plan(now time.Duration, vms []VM, offers []Offer, d Demand) []Order {
 	s := p.supply(now, vms)
 	need := d.Live*p.o.Headroom + d.Batch
-	floor := d.Live * p.o.Floor
+	floor := d.Live * p.o.OnDemandFloor
 	var r []Order
 	for len(r) < maxOrders && (s.all < need || s.onDemand < floor) {
 		f, ok := p.best(now, offers, &s, need, s.onDemand < floor)
@@ -178,22 +177,22 @@
 	}
 	list := p.shrink(vms, s, need, floor)
 	if len(r) > 0 || len(list) == 0 {
-		p.tooMuch = false
+		p.inSurplus = false
 		return r
 	}
-	if !p.tooMuch {
-		p.tooMuch, p.surplus = true, now
+	if !p.inSurplus {
+		p.inSurplus, p.surplusSince = true, now
 	}
-	if now-p.surplus < p.o.Surplus {
+	if now-p.surplusSince < p.o.SurplusDelay {
 		return nil
 	}
-	p.surplus = now // one VM at a time
+	p.surplusSince = now // one VM at a time
 	return list
 }
 
-// best returns the cheapest offer per slot that is not backing off and keeps the
-// zones apart. When every reclaimable offer is refused and live work is short, on
-// demand is what is left, and comes out cheapest.
+// best returns the offer with the lowest cost per slot that is not backing off and spreads the slots over the
+// zones. When every reclaimable offer is refused and live work is short of slots, only on-demand offers are
+// left, so the cheapest of them is returned.
 func (p *Planner) best(now time.Duration, offers []Offer, s *supply, need float64, onDemand bool) (Offer, bool) {
 	best, cost := Offer{}, math.Inf(1)
 	for _, f := range offers {
@@ -203,9 +202,9 @@
 		if r := p.refusals[f]; r != nil && now < r.until {
 			continue
 		}
-		c := f.Price / float64(f.Slots) * (1 + f.ReclaimRate*p.o.Lost)
+		c := f.Price / float64(f.Slots) * (1 + f.ReclaimRate*p.o.LostHours)
 		if s.zones[f.Zone]+float64(f.Slots) > p.o.ZoneShare*math.Max(need, s.all+float64(f.Slots)) {
-			c *= crowdedZone
+			c *= crowdedZoneFactor
 		}
 		if c < cost {
 			best, cost = f, c
@@ -214,15 +213,15 @@
 	return best, !math.IsInf(cost, 1)
 }
 
-// crowdedZone is how much dearer a zone counts that has its share already.
-const crowdedZone = 3
+// crowdedZoneFactor multiplies the cost of an offer in a zone that has its share already.
+const crowdedZoneFactor = 3
 
-// slack is the surplus beyond the need that is kept, so that VMs don't come and go
-// with every small change.
-const slack = 1.25
+// surplusFactor is the supply relative to the need that is kept when VMs are stopped, so that small changes of
+// the demand do not start and stop VMs.
+const surplusFactor = 1.25
 
-// shrink stops one idle VM, the dearest that isn't needed. The last one stays: a pool
-// without any would refuse the next request instead of being slow to it.
+// shrink stops the most expensive idle VM that is not needed. The last VM stays: a pool without any would reject
+// the next request instead of serving it slowly.
 func (p *Planner) shrink(vms []VM, s supply, need, floor float64) []Order {
 	if len(vms) < 2 {
 		return nil
@@ -233,7 +232,7 @@
 	})
 	for _, v := range list {
 		n := float64(v.Slots)
-		if v.Load > 0 || s.all-n < need*slack || !v.Reclaimable && s.onDemand-n < floor {
+		if v.Load > 0 || s.all-n < need*surplusFactor || !v.Reclaimable && s.onDemand-n < floor {
 			continue
 		}
 		return []Order{{Stop: v.ID, Reason: "more slots than demand"}}
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -42,23 +42,23 @@
 	assert.Positive(t, got[cheap], "the backoff is over")
 }
 
-func TestSurplusIsStoppedDearestFirst(t *testing.T) {
+func TestSurplusStopsDearestFirst(t *testing.T) {
 	vms := []VM{
 		{ID: "cheap", Zone: "z1", Reclaimable: true, Price: 1, Slots: 8},
-		{ID: "dear", Zone: "z3", Price: 3, Slots: 8},
+		{ID: "expensive", Zone: "z3", Price: 3, Slots: 8},
 		{ID: "busy", Zone: "z3", Price: 4, Slots: 8, Load: 1},
 	}
 	p := New(DefaultOptions())
 	d := Demand{Live: 1}
-	assert.Empty(t, p.Plan(0, vms, offers, d), "a lull is no reason")
+	assert.Empty(t, p.Plan(0, vms, offers, d), "a short surplus stops no VM")
 	assert.Empty(t, p.Plan(9*time.Minute, vms, offers, d))
-	assert.Equal(t, []Order{{Stop: "dear", Reason: "more slots than demand"}}, p.Plan(11*time.Minute, vms, offers, d))
+	assert.Equal(t, []Order{{Stop: "expensive", Reason: "more slots than demand"}}, p.Plan(11*time.Minute, vms, offers, d))
 	assert.Empty(t, p.Plan(12*time.Minute, vms, offers, d), "one at a time")
 	assert.Empty(t, p.Plan(40*time.Minute, vms[:1], offers, Demand{}), "the last one stays")
 }
 
-// TestPlanSettles: whatever the start, rounds without refusals reach a mix that
-// serves the demand, keeps the floor, and then orders nothing more.
+// TestPlanSettles: whatever the demand, rounds without refusals reach a mix that serves it, keeps the on-demand
+// floor, and then orders nothing more.
 func TestPlanSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(DefaultOptions())
@@ -67,7 +67,7 @@
 		now := time.Duration(0)
 		for round := 0; ; round++ {
 			if round > 60 {
-				t.Fatal("does not settle")
+				t.Fatal("orders continue after 60 rounds")
 			}
 			now += time.Second
 			list := p.Plan(now, vms, offers, d)
@@ -76,7 +76,7 @@
 			}
 			for _, o := range list {
 				if o.Start == nil {
-					t.Fatal("a stop while only growing")
+					t.Fatal("a VM was stopped while the pool was only growing")
 				}
 				f := *o.Start
 				p.Accepted(now, f)
--- a/internal/autoscale/mix.go
+++ b/internal/autoscale/mix.go
@@ -8,149 +8,146 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file decides how many upstreams of a service each hall should have where the
-// platform takes counts a hall and kind, instead of orders for single VMs.
+// This file decides how many upstreams of a service each hall should have on a platform that takes a count per
+// hall and kind, instead of orders for single VMs.
 //
-// Reclaimable upstreams cost a fraction, and are taken a hall at a time. Waves come in
-// series: the halls not yet hit are likely next, and while a wave lasts no reclaimable
-// ones are to be had. So in calm times the load is carried by reclaimable upstreams on
-// a small base of on-demand ones, and from the first notice on the base is raised until it
-// carries the load alone; it is lowered again when no notice has come for a while and
-// the reclaimable ones are back. The need rises at once, since a new upstream takes its boot
-// time to help, and falls only after it has been lower for a while.
+// Reclaimable upstreams cost a fraction of on-demand ones, and are reclaimed a whole hall at a time. Reclaims
+// come in waves: the halls not hit yet are likely to be next, and while a wave lasts no reclaimable upstreams
+// are available. So in calm times reclaimable upstreams carry the load on a small base of on-demand ones. From
+// the first notice on, the base is raised until it carries the load alone. It is lowered again when no notice
+// has come for a while and reclaimable upstreams are available again. The need rises at once, since a new
+// upstream helps only after its boot time, and falls only after it has been lower for a while.
 //
-// Weighed, and measured: fixed numbers of each kind (docs/DECISIONS.md).
+// Alternatives considered, with measurements in docs/DECISIONS.md: fixed numbers of each kind.
 
-// HallState is what a hall has.
+// HallState is the current supply of a hall.
 type HallState struct {
 	Hall        string
-	Price       float64 // of one upstream, relative to the others
+	Price       float64 // of one upstream, relative to the other halls
 	OnDemand    int     // ready, not leaving
 	Reclaimable int
-	Leaving     int // reclaimable ones that leave
+	Leaving     int // reclaimable upstreams that are leaving
 }
 
-// MixSpec bounds the counts of a service. Both kinds together stay in Min to Max a hall.
+// MixSpec bounds the counts of a service. Both kinds together stay between Min and Max in each hall.
 type MixSpec struct {
 	Min, Max         int
-	ReclaimablePrice float64 // relative to an on-demand upstream; 0 or over 1: none are bought
+	ReclaimablePrice float64 // relative to an on-demand upstream; 0, 1 or more: none are bought
 }
 
-// Count is what a hall should have.
+// Count is the number of upstreams that a hall should have.
 type Count struct {
 	Hall        string
 	OnDemand    int
 	Reclaimable int
 }
 
-// MixOptions sets a planner.
+// MixOptions configures a MixPlanner.
 type MixOptions struct {
-	// Busy is how much of its reading time, slots and memory an upstream should have in use:
-	// what is left bears bursts of a second or two, and that no choice spreads evenly. The
-	// spares bear the rest.
-	Busy capacity.Work
-	// Spare is how many reclaimable upstreams a hall has beyond its part of the need.
-	Spare int
-	// Calm is how long after the last notice the base is held up: a boot, and some seconds in
-	// which the halls not yet hit are likely next.
-	Calm time.Duration
+	// TargetUse is how much of its reading time, slots and memory an upstream should have in use: the rest
+	// absorbs bursts of a second or two, and unevenness that no load balancing avoids. The spare upstreams
+	// absorb what is beyond that.
+	TargetUse capacity.Work
+	// SparePerHall is how many reclaimable upstreams a hall has beyond its part of the need.
+	SparePerHall int
+	// WaveHold is how long after the last notice the base stays raised: a boot time plus some seconds in
+	// which the halls not hit yet are likely to be next.
+	WaveHold time.Duration
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
-	// Hold is how long the need has to be lower before on-demand upstreams go: as long as it
-	// takes to have them back, and be listed.
-	Hold time.Duration
+	// ShrinkDelay is how long the need has to be lower before on-demand upstreams are given up: as long as it
+	// takes to start and list them again.
+	ShrinkDelay time.Duration
 }
 
 const (
-	// holdBeyond is what Hold is beyond a boot: two heartbeats, and a list that is gathered.
-	holdBeyond = 3 * time.Second
-	// calmBeyond is what Calm is beyond a boot. Halls that were taken together were taken
-	// within 6 s.
-	calmBeyond = 5 * time.Second
+	// shrinkDelayMargin is what ShrinkDelay adds to a boot time: two heartbeats and the time to gather a list.
+	shrinkDelayMargin = 3 * time.Second
+	// waveHoldMargin is what WaveHold adds to a boot time. Halls of one wave were reclaimed within 6 s.
+	waveHoldMargin = 5 * time.Second
 )
 
-// DefaultMixOptions returns the options in use for upstreams that boot in so long;
-// docs/DECISIONS.md has the trials.
+// DefaultMixOptions returns the options for upstreams with the given boot time; docs/DECISIONS.md has the
+// trials.
 func DefaultMixOptions(boot time.Duration) MixOptions {
 	return MixOptions{
-		Busy: capacity.Work{Reading: 0.75, Slots: 0.9, Memory: 0.9}, Spare: 2,
-		Calm: boot + calmBeyond, Hold: boot + holdBeyond,
+		TargetUse: capacity.Work{Reading: 0.75, Slots: 0.9, Memory: 0.9}, SparePerHall: 2,
+		WaveHold: boot + waveHoldMargin, ShrinkDelay: boot + shrinkDelayMargin,
 	}
 }
 
 // MixPlanner plans one service. It isn't safe for concurrent use.
 type MixPlanner struct {
-	o        MixOptions
-	notice   time.Duration // of the last notice seen
-	noticed  bool
-	first    time.Duration // of the first moment observed
-	observed bool
-	begun    bool          // some work has come
-	began    time.Duration // when it did
-	found    float64       // upstreams that were there before that
-	recent   []needed      // within Hold, the newest last
-	binds    capacity.Resource
-	dear     bool // reclaimable upstreams cost more than they save
-	refused  map[string]time.Duration
-	refusals map[string]int
-	lacking  map[string]time.Duration // since when a hall has fewer reclaimable ones than wanted
+	o                  MixOptions
+	lastNotice         time.Duration // when the last notice was seen
+	noticed            bool
+	firstObserved      time.Duration // time of the first observation
+	observed           bool
+	hasWork            bool          // work has been measured
+	workSince          time.Duration // when work was first measured
+	foundOnDemand      float64       // on-demand upstreams that existed before that
+	recent             []needSample  // needs within ShrinkDelay, the newest last
+	binding            capacity.Resource
+	reclaimableTooDear bool // reclaimable upstreams cost more than they save
+	refusedUntil       map[string]time.Duration
+	refusals           map[string]int
+	shortSince         map[string]time.Duration // since when a hall has fewer reclaimable upstreams than wanted
 }
 
 // NewMixPlanner returns a planner.
 func NewMixPlanner(o MixOptions) *MixPlanner {
-	return &MixPlanner{o: o, refused: make(map[string]time.Duration), refusals: make(map[string]int), lacking: make(map[string]time.Duration)}
+	return &MixPlanner{o: o, refusedUntil: make(map[string]time.Duration), refusals: make(map[string]int), shortSince: make(map[string]time.Duration)}
 }
 
 const (
-	// idleNeed is the need below which nothing is known of the load yet.
+	// idleNeed is the need up to which no load counts as measured.
 	idleNeed = 0.1
-	// foundWithin is how long a planner still finds upstreams that were there before: a
-	// list that is read while it fills grows over some heartbeats.
-	foundWithin = 2 * time.Second
-	// refusalPause is the first pause after a hall has no reclaimable upstreams to give;
-	// it doubles up to refusalLimit.
-	refusalPause = time.Second
-	refusalLimit = 4 * time.Second
+	// findPeriod is how long after its start a planner counts listed upstreams as existing before: a list
+	// that is read while nodes still register grows for some heartbeats.
+	findPeriod = 2 * time.Second
+	// refusalPause is the first pause after a hall had no reclaimable upstreams available; it doubles up to
+	// maxRefusalPause.
+	refusalPause    = time.Second
+	maxRefusalPause = 4 * time.Second
 )
 
-// Refused notes that a hall had no reclaimable upstreams to give.
+// Refused records that a hall had no reclaimable upstreams available.
 func (m *MixPlanner) Refused(now time.Duration, hall string) {
-	m.refused[hall] = now + min(refusalPause<<min(m.refusals[hall], 4), refusalLimit)
+	m.refusedUntil[hall] = now + min(refusalPause<<min(m.refusals[hall], 4), maxRefusalPause)
 	m.refusals[hall]++
 }
 
-// Granted notes that a hall gave some.
+// Granted records that a hall provided reclaimable upstreams.
 func (m *MixPlanner) Granted(hall string) {
-	delete(m.refused, hall)
+	delete(m.refusedUntil, hall)
 	delete(m.refusals, hall)
 }
 
-// Observe takes in a moment: load is the work that comes each second. It is called by every
-// process, so that whichever gives orders next knows of the need and the notices of the last
-// seconds.
+// Observe records the state at a time: load is the work that arrives per second. Every process calls it, so
+// that whichever process gives orders next knows the need and the notices of the last seconds.
 func (m *MixPlanner) Observe(now time.Duration, load capacity.Work, halls []HallState) {
-	need, binds := load.Unhurried(ready(halls)).Engines(m.o.Busy)
-	m.binds = binds
-	m.hold(now, need)
-	m.find(now, halls)
-	m.notices(now, halls)
+	need, binding := load.Unhurried(readyUpstreams(halls)).Engines(m.o.TargetUse)
+	m.binding = binding
+	m.recordNeed(now, need)
+	m.recordFound(now, halls)
+	m.recordNotices(now, halls)
 }
 
-// Plan returns the counts wanted after what was observed last.
+// Plan returns the counts for the state that was observed last.
 func (m *MixPlanner) Plan(now time.Duration, s MixSpec, halls []HallState) []Count {
-	found := m.floor(now)
-	buys := m.decide(now, s, len(halls))
-	need := math.Max(m.need(), m.keep(found, buys, halls))
-	wave := m.noticed && now-m.notice < m.o.Calm
+	found := m.foundFloor(now)
+	buys := m.buysReclaimable(now, s, len(halls))
+	need := math.Max(m.need(), m.keepFound(found, buys, halls))
+	wave := m.noticed && now-m.lastNotice < m.o.WaveHold
 	sort.Slice(halls, func(i, j int) bool {
 		if halls[i].Price != halls[j].Price {
 			return halls[i].Price < halls[j].Price
 		}
 		return halls[i].Hall < halls[j].Hall
 	})
-	safe := need // what on-demand upstreams have to carry
+	safe := need // need that on-demand upstreams have to carry
 	if buys && !wave {
-		safe = math.Max(0, need-float64(m.dependable(halls)))
+		safe = math.Max(0, need-float64(m.survivingReclaimable(halls)))
 	}
 	counts := make([]Count, len(halls))
 	for i, h := range halls {
@@ -159,51 +156,49 @@
 		case buys:
 			counts[i].Reclaimable = m.reclaimable(now, math.Max(need, found)/float64(len(halls)), h)
 		case onDemandOf(halls) < need:
-			// Until others have taken their place, which need room, too.
+			// Keep them until on-demand upstreams replace them, which need room under the maximum, too.
 			counts[i].Reclaimable = min(h.Reclaimable, int(math.Ceil(need-onDemandOf(halls))))
 		}
 	}
 	floors := make([]int, len(halls))
 	for i, h := range halls {
-		floors[i] = m.alone(now, need/float64(len(halls)), h, counts[i].Reclaimable)
+		floors[i] = m.standaloneFloor(now, need/float64(len(halls)), h, counts[i].Reclaimable)
 	}
-	spread(max(leastOnDemand, int(math.Ceil(safe-1e-9))), s, halls, floors, counts)
+	spread(max(minOnDemand, int(math.Ceil(safe-1e-9))), s, halls, floors, counts)
 	for i, h := range halls {
-		least := min(h.Reclaimable, s.Min-counts[i].OnDemand) // of what is there
+		least := min(h.Reclaimable, s.Min-counts[i].OnDemand) // only existing ones
 		counts[i].Reclaimable = max(0, min(max(counts[i].Reclaimable, least), s.Max-counts[i].OnDemand))
 	}
 	return counts
 }
 
-// standAlone is the part of its share of the need that a hall has by itself: the other halls'
-// upstreams are no help to one that is cut off, and reclaimable ones may not come to it for long before.
-const standAlone = 0.5
+// standaloneShare is the part of its share of the need that a hall carries by itself: the upstreams of other
+// halls do not help a hall that is partitioned, and reclaimable ones may be unavailable to it for long before.
+const standaloneShare = 0.5
 
-// alone is how many on-demand upstreams a hall needs to stand alone, if reclaimable ones are
-// not to be had there: the orders are refused, or nothing has come of them for longer than
-// that takes.
-func (m *MixPlanner) alone(now time.Duration, part float64, h HallState, wanted int) int {
+// standaloneFloor returns how many on-demand upstreams a hall needs to serve by itself, if reclaimable ones are
+// unavailable there: their orders are refused, or have had no effect for longer than a start takes.
+func (m *MixPlanner) standaloneFloor(now time.Duration, part float64, h HallState, wanted int) int {
 	if h.Reclaimable >= wanted {
-		delete(m.lacking, h.Hall)
-	} else if _, ok := m.lacking[h.Hall]; !ok {
-		m.lacking[h.Hall] = now
+		delete(m.shortSince, h.Hall)
+	} else if _, ok := m.shortSince[h.Hall]; !ok {
+		m.shortSince[h.Hall] = now
 	}
-	since, lacks := m.lacking[h.Hall]
-	if m.refusals[h.Hall] == 0 && !(lacks && now-since > m.o.Hold) {
+	since, short := m.shortSince[h.Hall]
+	if m.refusals[h.Hall] == 0 && !(short && now-since > m.o.ShrinkDelay) {
 		return 0
 	}
-	return max(0, int(math.Ceil(standAlone*part-1e-9))-h.Reclaimable)
+	return max(0, int(math.Ceil(standaloneShare*part-1e-9))-h.Reclaimable)
 }
 
-// switchGain is the part by which the other kind has to be cheaper for a change of kind: each
-// change boots everything anew, and the need swings by as much.
-const switchGain = 0.3
+// minSwitchGain is the part by which the other kind has to be cheaper for a change of kind: each change boots
+// all upstreams again, and the need varies by as much.
+const minSwitchGain = 0.3
 
-// decide tells whether reclaimable upstreams are bought: where they, and what is held to
-// bear their loss, cost less than on-demand ones for the same need.
-// Until work was measured for a while they are, if they are cheaper at all: the first work
-// says little of what comes.
-func (m *MixPlanner) decide(now time.Duration, s MixSpec, halls int) bool {
+// buysReclaimable returns whether reclaimable upstreams are bought: where they, and the spares against their
+// loss, cost less than on-demand ones for the same need. Until work was measured for a while they are bought if
+// they are cheaper at all: the first work says little about the load to come.
+func (m *MixPlanner) buysReclaimable(now time.Duration, s MixSpec, halls int) bool {
 	if s.ReclaimablePrice <= 0 || s.ReclaimablePrice >= 1 {
 		return false
 	}
@@ -211,66 +206,65 @@
 		return true
 	}
 	n := m.need()
-	with := (n+float64(m.o.Spare*halls))*s.ReclaimablePrice + leastOnDemand
-	without := math.Max(math.Ceil(n), float64(s.Min*halls)) + leastOnDemand
+	with := (n+float64(m.o.SparePerHall*halls))*s.ReclaimablePrice + minOnDemand
+	without := math.Max(math.Ceil(n), float64(s.Min*halls)) + minOnDemand
 	switch {
-	case m.dear && with < (1-switchGain)*without:
-		m.dear = false
-	case !m.dear && without < (1-switchGain)*with:
-		m.dear = true
+	case m.reclaimableTooDear && with < (1-minSwitchGain)*without:
+		m.reclaimableTooDear = false
+	case !m.reclaimableTooDear && without < (1-minSwitchGain)*with:
+		m.reclaimableTooDear = true
 	}
-	return !m.dear
+	return !m.reclaimableTooDear
 }
 
-// leastOnDemand is how many on-demand upstreams are held over all halls: what is left if all
-// reclaimable ones go at once. One in each hall was held before. Where engines are few, that
-// is as good; where the load needs twice as many halls' worth, it costs more in upstreams than it
-// saves in the worst moments.
-const leastOnDemand = 1
+// minOnDemand is how many on-demand upstreams are kept over all halls: what is left if all reclaimable ones are
+// reclaimed at once. Alternatives considered: one in each hall. Where upstreams are few, one in all is as good;
+// where the load needs twice as many upstreams as there are halls, one in each hall costs more than it saves in
+// the worst moments.
+const minOnDemand = 1
 
-// reclaimable is how many reclaimable upstreams a hall should have if its part of the need
-// is so many.
+// reclaimable returns how many reclaimable upstreams a hall should have for its part of the need.
 func (m *MixPlanner) reclaimable(now time.Duration, part float64, h HallState) int {
 	want := int(math.Ceil(part - 1e-9))
-	if m.begun {
-		want += m.o.Spare
+	if m.hasWork {
+		want += m.o.SparePerHall
 	}
 	if !m.settled(now) {
 		want = max(want, h.Reclaimable)
 	}
-	if now < m.refused[h.Hall] {
+	if now < m.refusedUntil[h.Hall] {
 		want = min(want, h.Reclaimable)
 	}
 	return want
 }
 
-// BindingResource is what upstreams would run out of first under the load observed last.
-func (m *MixPlanner) BindingResource() capacity.Resource { return m.binds }
+// BindingResource returns the resource that upstreams would run out of first under the load observed last.
+func (m *MixPlanner) BindingResource() capacity.Resource { return m.binding }
 
-// needed is the need at a moment.
-type needed struct {
+// needSample is the need at a time.
+type needSample struct {
 	at   time.Duration
 	need float64
 }
 
-// hold keeps the needs of a while. None counts until work has come.
-func (m *MixPlanner) hold(now time.Duration, need float64) {
-	if !m.begun {
+// recordNeed keeps the needs of the last ShrinkDelay. Needs before the first work do not count.
+func (m *MixPlanner) recordNeed(now time.Duration, need float64) {
+	if !m.hasWork {
 		if need <= idleNeed {
 			return
 		}
-		m.begun, m.began = true, now
+		m.hasWork, m.workSince = true, now
 	}
-	m.recent = append(m.recent, needed{now, need})
+	m.recent = append(m.recent, needSample{now, need})
 	old := 0
-	for now-m.recent[old].at > m.o.Hold {
+	for now-m.recent[old].at > m.o.ShrinkDelay {
 		old++
 	}
 	m.recent = m.recent[old:]
 }
 
-// need rises at once and falls when it has been lower for a while: it is the highest of
-// that while.
+// need returns the highest need of the last ShrinkDelay, so it rises at once and falls when the need has been
+// lower for that long.
 func (m *MixPlanner) need() float64 {
 	high := 0.0
 	for _, v := range m.recent {
@@ -279,34 +273,33 @@
 	return high
 }
 
-// find notes what is there on demand before this process could measure anything.
-func (m *MixPlanner) find(now time.Duration, halls []HallState) {
+// recordFound records the on-demand upstreams that existed before this process could measure any work.
+func (m *MixPlanner) recordFound(now time.Duration, halls []HallState) {
 	if !m.observed {
-		m.observed, m.first = true, now
+		m.observed, m.firstObserved = true, now
 	}
-	if !m.begun || now-m.first <= foundWithin {
-		m.found = math.Max(m.found, onDemandOf(halls))
+	if !m.hasWork || now-m.firstObserved <= findPeriod {
+		m.foundOnDemand = math.Max(m.foundOnDemand, onDemandOf(halls))
 	}
 }
 
-// floor is what was found, until work has come and for a while afterwards: the first work
-// says little of what comes, and a process that has just started measures too little.
-func (m *MixPlanner) floor(now time.Duration) float64 {
+// foundFloor returns the on-demand upstreams found at the start, until work has been measured for a while: the
+// first work says little about the load to come, and a process that has just started measures too little.
+func (m *MixPlanner) foundFloor(now time.Duration) float64 {
 	if m.settled(now) {
 		return 0
 	}
-	return m.found
+	return m.foundOnDemand
 }
 
-// settled tells whether work has been measured for long enough that fewer may be ordered.
+// settled returns whether work has been measured for long enough that fewer upstreams may be ordered.
 func (m *MixPlanner) settled(now time.Duration) bool {
-	return m.begun && now-m.began >= m.o.Hold
+	return m.hasWork && now-m.workSince >= m.o.ShrinkDelay
 }
 
-// keep is the part of what was found that on-demand upstreams go on carrying, whatever was
-// measured: all of it if somebody has held it to be needed, what is there of it if nothing
-// takes its place.
-func (m *MixPlanner) keep(found float64, buys bool, halls []HallState) float64 {
+// keepFound returns the part of the found upstreams that stays on demand, whatever was measured: all of them if
+// an earlier process ordered them, and those that still exist if no reclaimable ones replace them.
+func (m *MixPlanner) keepFound(found float64, buys bool, halls []HallState) float64 {
 	switch {
 	case !m.o.FirstStart:
 		return found
@@ -316,8 +309,8 @@
 	return 0
 }
 
-// ready is how many upstreams serve.
-func ready(halls []HallState) int {
+// readyUpstreams returns how many upstreams serve requests.
+func readyUpstreams(halls []HallState) int {
 	n := 0
 	for _, h := range halls {
 		n += h.OnDemand + h.Reclaimable + h.Leaving
@@ -333,18 +326,18 @@
 	return float64(n)
 }
 
-// notices notes when a hall was last seen under notice. A reclaim takes all of a hall; where
-// some are left, the others leave because fewer were ordered.
-func (m *MixPlanner) notices(now time.Duration, halls []HallState) {
+// recordNotices records when a hall was last seen under notice. A reclaim takes all reclaimable upstreams of a
+// hall; where some are left, the others leave because fewer were ordered.
+func (m *MixPlanner) recordNotices(now time.Duration, halls []HallState) {
 	for _, h := range halls {
 		if h.Leaving > 0 && h.Reclaimable == 0 {
-			m.noticed, m.notice = true, now
+			m.noticed, m.lastNotice = true, now
 		}
 	}
 }
 
-// dependable is how many reclaimable upstreams are left if the hall with most is taken.
-func (m *MixPlanner) dependable(halls []HallState) int {
+// survivingReclaimable returns how many reclaimable upstreams are left if the hall with most of them loses all.
+func (m *MixPlanner) survivingReclaimable(halls []HallState) int {
 	sum, most := 0, 0
 	for _, h := range halls {
 		sum += h.Reclaimable
@@ -353,15 +346,14 @@
 	return sum - most
 }
 
-// spread deals n on-demand upstreams out: each hall the least that it has to have, and that it
-// needs to stand alone, then the
-// halls that have some already as many as they have, then the halls with fewest, the
-// cheapest first among equals. What serves or boots is thereby not given up in one hall for
-// what has to boot in another. Dealing them out anew each time, by what was to be had at the
-// moment, moves some to and fro through a wave.
+// spread distributes n on-demand upstreams. Each hall first gets the number that it has to have, including its
+// standalone floor, then halls with on-demand upstreams keep as many as they have, then the halls with the
+// fewest get more, the cheapest first among equals. So upstreams that serve or boot in one hall are not given up
+// for others that have to boot in another hall. Alternatives considered: distributing them anew each time, by
+// current availability, which moves some back and forth through a wave.
 //
-// Both kinds together are bounded, so what is there and reclaimable stays: giving it up for
-// what has to boot first would leave nothing in between.
+// Both kinds together are bounded, so existing reclaimable upstreams stay: giving them up for upstreams that
+// have to boot first would leave no capacity in between.
 func spread(n int, s MixSpec, halls []HallState, floors []int, counts []Count) {
 	room := func(i int) bool { return counts[i].OnDemand < s.Max-halls[i].Reclaimable }
 	for i, h := range halls {
@@ -387,8 +379,8 @@
 		counts[k].OnDemand++
 		n--
 	}
-	if n > 0 && onDemandIn(counts) < leastOnDemand {
-		counts[0].OnDemand = min(s.Max, leastOnDemand) // in the place of reclaimable ones
+	if n > 0 && onDemandIn(counts) < minOnDemand {
+		counts[0].OnDemand = min(s.Max, minOnDemand) // instead of reclaimable ones
 	}
 }
 
--- a/internal/autoscale/rate.go
+++ b/internal/autoscale/rate.go
@@ -6,42 +6,42 @@
 	"spurhall.example/spurhall/internal/capacity"
 )
 
-// This file measures how fast work comes, out of sums that only grow, one from each node,
-// as they are heard.
+// This file estimates the rate of arriving work from counters that only grow, one from each node, as their
+// values are received.
 //
-// Each node's rate is measured by itself, over the time between what was heard of it. A
-// single rate over all sums was used first: when nodes were heard again after a cut, all
-// their work of the meantime counted as that moment's, and upstreams were ordered for twice
-// the load.
+// Each node's rate is measured separately, over the time between two values of its counter. Alternatives
+// considered: a single rate over the sum of all counters. When nodes became reachable again after a partition,
+// all their work of the meantime counted as arriving at that moment, and upstreams were ordered for twice the
+// load.
 
-// rateHalf is the time over which what was measured counts half: some requests of each
-// node, and less than the boot of an upstream.
-const rateHalf = 2 * time.Second
+// rateHalfLife is the time over which a measurement gets half of the weight: long enough for some requests of
+// each node, and shorter than the boot of an upstream.
+const rateHalfLife = 2 * time.Second
 
-// leastWeight damps what was measured in the first second: after a restart the callers that
-// waited come all at once.
-const leastWeight = 0.4
+// minWeight damps the rate measured in the first second: after a restart the waiting callers arrive all at
+// once.
+const minWeight = 0.4
 
-// Counter is what a node has counted since its process began.
+// Counter is the work that a node has counted since its process started.
 type Counter struct {
-	Value capacity.Work
-	ReceivedAt    time.Time // when it was heard
+	Value      capacity.Work
+	ReceivedAt time.Time
 }
 
-// RateEstimator is the rate at which sums grow. Its zero value has measured nothing.
+// RateEstimator estimates the rate at which the counters of all nodes grow. Its zero value is ready for use.
 type RateEstimator struct {
 	nodes map[string]*nodeRate
 }
 
-// nodeRate is one node's rate.
+// nodeRate is the rate of one node.
 type nodeRate struct {
 	last   Counter
-	value  capacity.Work // weighed average; what isn't measured yet counts as 0
-	weight float64       // of what was measured in value, up to 1
+	value  capacity.Work // weighted average; time before the first measurement counts as 0
+	weight float64       // total weight of the measurements in value, up to 1
 }
 
-// Estimate takes in the sums of a moment, and returns the rate a second. A node that wasn't
-// heard within silent counts nothing: its callers have gone to others.
+// Estimate adds the current counters, and returns the rate per second. A node whose counter was not received
+// within silent counts as 0: its callers have moved to other nodes.
 func (r *RateEstimator) Estimate(now time.Time, sums map[string]Counter, silent time.Duration) capacity.Work {
 	if r.nodes == nil {
 		r.nodes = make(map[string]*nodeRate)
@@ -58,16 +58,16 @@
 			v = &nodeRate{last: s}
 			r.nodes[n] = v
 		}
-		v.take(s)
+		v.add(s)
 		if now.Sub(s.ReceivedAt) <= silent {
-			all = all.Plus(v.value.Times(1 / max(v.weight, leastWeight)))
+			all = all.Plus(v.value.Times(1 / max(v.weight, minWeight)))
 		}
 	}
 	return all
 }
 
-// take takes in what was heard. A sum that became smaller belongs to a new process.
-func (v *nodeRate) take(s Counter) {
+// add adds a received counter. A counter that became smaller belongs to a new process.
+func (v *nodeRate) add(s Counter) {
 	d := s.ReceivedAt.Sub(v.last.ReceivedAt).Seconds()
 	grown := s.Value.Plus(v.last.Value.Times(-1))
 	if d <= 0 {
@@ -77,7 +77,7 @@
 	if grown.Reading < 0 || grown.Slots < 0 || grown.Memory < 0 {
 		return
 	}
-	gain := d / (d + rateHalf.Seconds())
+	gain := d / (d + rateHalfLife.Seconds())
 	v.value = v.value.Times(1 - gain).Plus(grown.Times(gain / d))
 	v.weight += gain * (1 - v.weight)
 }
