--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -318,7 +318,7 @@
 	}
 }
 
-// recordLifetime is how long a claim is kept that records a promise made to another node.
+// recordLifetime is the lifetime of a claim that records a promise made to another node.
 const recordLifetime = 24 * time.Hour
 
 func (b *Manager) write(a Action) {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -25,8 +25,8 @@
 	minStepLength   = 0.025
 	// moveDelay is how long into the last stage streams that can resume elsewhere are moved, and
 	// minFullLength the shortest observation of that stage.
-	moveDelay = 0.06
-	minFullLength    = 0.06
+	moveDelay     = 0.06
+	minFullLength = 0.06
 	// latestEnd is when the completion is reported at the latest, whatever still runs, so that it reaches the
 	// store in time, and latestFullStart when the last stage has to have started.
 	latestEnd       = 0.965
