--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -171,7 +171,7 @@
 	roll.step(t.Context(), token)
 	r.assertStage(a, rollout.StageRolledBack)
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
@@ -188,7 +188,7 @@
 	assert.False(t, a.inService(pool.Entry{Service: "s", Version: "v2"}))
 	assert.True(t, a.inService(pool.Entry{Service: "s", Version: "v1"}))
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -186,7 +186,7 @@
 		bars[target] = true
 	}
 	n.pools.SetSplit(service, pool.Split{
-		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, AsLast: t.Stage() == rollout.StageWaiting && !t.Stopped(), Trials: t.TrialUpstreams(others), Barred: bars,
+		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, TargetAsFallback: t.Stage() == rollout.StageWaiting && !t.Stopped(), TrialUpstreams: t.TrialUpstreams(others), Barred: bars,
 	})
 }
 
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -37,7 +37,7 @@
 	bound    []time.Time // of processes that the rule binds
 	refused  int
 	asked    int
-	of       retry.Lifetime
+	of       retry.Incarnation
 	rate     func(at time.Duration) (float64, bool) // that the upstream names
 	began    time.Time
 }
@@ -77,7 +77,7 @@
 }
 
 func newFleet(o fleetOptions) *fleet {
-	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Lifetime{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
+	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Incarnation{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
 	f.began = f.now
 	for i := range o.nodes {
 		f.nodes = append(f.nodes, &playedNode{name: fmt.Sprint("n", i), index: i, book: f.book(o, i)})
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -40,7 +40,7 @@
 
 // Word is what is known of one upstream.
 type Word struct {
-	Of     retry.Lifetime
+	Of     retry.Incarnation
 	Rate   float64 // requests a second, from all nodes together
 	Lifted bool    // it names no rate any more
 	At     time.Time
@@ -58,7 +58,7 @@
 	nodes   []string // that may send, this one included
 	placers []string // those of them that choose engines for all others; empty: each node chooses
 	version uint64   // of both
-	known   map[retry.Lifetime]*known
+	known   map[retry.Incarnation]*known
 	sharers func(rate float64, nodes int) int
 }
 
@@ -70,12 +70,12 @@
 
 // NewBook returns the book of a node that knows of no other one.
 func NewBook(self string) *Book {
-	return &Book{self: self, nodes: []string{self}, version: 1, known: make(map[retry.Lifetime]*known), sharers: sharers}
+	return &Book{self: self, nodes: []string{self}, version: 1, known: make(map[retry.Incarnation]*known), sharers: sharers}
 }
 
 // Named takes in an answer that names a rate, to a request that was sent at a time, and returns whether that
 // is news.
-func (b *Book) Named(now, sent time.Time, of retry.Lifetime, rate float64) bool {
+func (b *Book) Named(now, sent time.Time, of retry.Incarnation, rate float64) bool {
 	w := Word{Of: of, Rate: rate, At: now}
 	old := b.known[of]
 	if !w.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
@@ -85,7 +85,7 @@
 }
 
 // Unnamed takes in an answer that names none, and returns whether that is news.
-func (b *Book) Unnamed(now, sent time.Time, of retry.Lifetime) bool {
+func (b *Book) Unnamed(now, sent time.Time, of retry.Incarnation) bool {
 	old := b.known[of]
 	if old == nil || old.Lifted || !sent.After(old.At) {
 		return false
@@ -128,7 +128,7 @@
 }
 
 // Forget drops the word of one life that is over, where its name may be the next one's, too.
-func (b *Book) Forget(of retry.Lifetime) { delete(b.known, of) }
+func (b *Book) Forget(of retry.Incarnation) { delete(b.known, of) }
 
 // forget drops what no answer has renewed, and the oldest word if there are too many.
 func (b *Book) forget(now time.Time) {
@@ -156,7 +156,7 @@
 }
 
 // Look returns the word that holds for an upstream, and what of its rate falls to this node, for who looks on.
-func (b *Book) Look(now time.Time, of retry.Lifetime) (w Word, share float64, named bool) {
+func (b *Book) Look(now time.Time, of retry.Incarnation) (w Word, share float64, named bool) {
 	if _, named = b.Rate(now, of); !named {
 		return Word{}, 0, false
 	}
@@ -165,7 +165,7 @@
 }
 
 // Rate returns the rate that an upstream names, if it does.
-func (b *Book) Rate(now time.Time, of retry.Lifetime) (float64, bool) {
+func (b *Book) Rate(now time.Time, of retry.Incarnation) (float64, bool) {
 	k := b.known[of]
 	if k == nil || k.Lifted || now.Sub(k.At) > wordKeeps {
 		return 0, false
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -64,7 +64,7 @@
 }
 
 // stand returns where this node stands for an upstream.
-func (b *Book) stand(of retry.Lifetime, engine bool) standing {
+func (b *Book) stand(of retry.Incarnation, engine bool) standing {
 	s := standing{version: b.version, engine: engine}
 	own := weight(of, b.self)
 	for _, n := range b.senders(engine) {
@@ -77,7 +77,7 @@
 	return s
 }
 
-func weight(of retry.Lifetime, node string) uint64 { return xxhash.Sum64String(of.ID + "\x00" + node) }
+func weight(of retry.Incarnation, node string) uint64 { return xxhash.Sum64String(of.ID + "\x00" + node) }
 
 // shareOf returns this node's part of a rate as of now.
 func (b *Book) shareOf(now time.Time, k *known, rate float64, engine bool) *share {
@@ -95,7 +95,7 @@
 
 // Wait returns how long it takes until this node may send to an upstream; 0: it may now. Where others share
 // the rate, it is the time in which one of them may.
-func (b *Book) Wait(now time.Time, of retry.Lifetime, engine bool) time.Duration {
+func (b *Book) Wait(now time.Time, of retry.Incarnation, engine bool) time.Duration {
 	rate, named := b.Rate(now, of)
 	if !named {
 		return 0
@@ -111,14 +111,14 @@
 }
 
 // Take notes a request that is sent.
-func (b *Book) Take(now time.Time, of retry.Lifetime, engine bool) {
+func (b *Book) Take(now time.Time, of retry.Incarnation, engine bool) {
 	if rate, named := b.Rate(now, of); named {
 		b.shareOf(now, b.known[of], rate, engine).saved--
 	}
 }
 
 // Return gives back what was taken for a request that didn't arrive.
-func (b *Book) Return(of retry.Lifetime) {
+func (b *Book) Return(of retry.Incarnation) {
 	if k := b.known[of]; k != nil {
 		k.share.saved = min(savedMost, k.share.saved+1)
 	}
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -88,7 +88,7 @@
 type rolloutNode struct {
 	name, hall string
 	trial      *rollout.Trial
-	book       *relay.Book
+	book       *relay.Aggregator
 	view       relay.View
 	lifetime   int
 	sequence   uint64
@@ -157,7 +157,7 @@
 func (p *rolloutPlay) begin(n *rolloutNode) {
 	n.lifetime++
 	n.sequence, n.view, n.down = 0, relay.View{}, false
-	n.book = relay.NewBook(n.name, fmt.Sprint(n.lifetime))
+	n.book = relay.NewAggregator(n.name, fmt.Sprint(n.lifetime))
 	n.trial = rollout.NewTrial(p.state.Order, p.l.Exposure, func(string) float64 { return p.random.Float64() })
 	n.trial.AdvanceTo(p.time(), ended(p.stored.Stage))
 }
@@ -298,16 +298,16 @@
 		return
 	}
 	n.sequence++
-	r := relay.Report{Node: n.name, Lifetime: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Update{word(n.trial)}}
+	r := relay.Report{Node: n.name, Incarnation: fmt.Sprint(n.lifetime), Sequence: n.sequence, Uptime: p.now, Trials: []rollout.Update{word(n.trial)}}
 	ordered := p.hallOf(n.hall)
 	if h := p.home(n, ordered); h == n {
-		n.book.Gather(p.time(), r)
+		n.book.ApplyReport(p.time(), r)
 		n.book.Expire(p.time())
 		p.take(n, n.book.Digest(p.time(), n.name, 0))
 		p.swapRelays(n)
 	} else if h != nil {
 		p.after(hop, func() {
-			h.book.Gather(p.time(), r)
+			h.book.ApplyReport(p.time(), r)
 			d := h.book.Digest(p.time(), n.name, 0)
 			p.after(hop, func() { p.take(n, d) })
 		})
@@ -328,7 +328,7 @@
 			nodes[n.name] = 1
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 func (p *rolloutPlay) named(name string) *rolloutNode {
@@ -346,7 +346,7 @@
 			return n
 		}
 	}
-	return p.named(relay.Homes(n.name, ordered)[0])
+	return p.named(relay.ReportTargets(n.name, ordered)[0])
 }
 
 func (p *rolloutPlay) take(n *rolloutNode, d relay.Digest) {
@@ -365,8 +365,8 @@
 		for _, name := range relay.Relays(p.hallOf(hall)) {
 			if o := p.named(name); name > n.name {
 				p.after(hop, func() {
-					o.book.TakeIn(p.time(), n.book.Group(p.time(), 0))
-					n.book.TakeIn(p.time(), o.book.Group(p.time(), 0))
+					o.book.MergeGroup(p.time(), n.book.Group(p.time(), 0))
+					n.book.MergeGroup(p.time(), o.book.Group(p.time(), 0))
 				})
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,7 +113,7 @@
 	n.dispatcher = dispatch.New(dispatch.Options{
 		Node: id, Hall: o.Hall, Clock: o.Clock, Client: n.client, Table: n.table, Policy: o.Policy, Distance: o.CrossHall,
 		Nodes: func() int { return len(n.liveNodes()) },
-		Event: n.log.Add, Urgent: n.peers.kick, Reaches: n.peers.reaches,
+		Event: n.log.Add, ExchangeSoon: n.peers.kick, HallReachable: n.peers.reaches,
 	})
 	n.claims = claim.NewManager(claim.Options{
 		Member: claim.Member{ID: id, Hall: o.Hall, Address: o.PeerAddress, VM: o.VM}, KV: n.kv, Up: n.guard.Up,
@@ -341,7 +341,7 @@
 	n.log.Add("vm_"+now.Status.String(), "", now.ID)
 	n.peers.kick()
 	if now.Kind == member.KindUpstream {
-		go n.dispatcher.Leaving(n.ctx, now, n.noticeLeft(&now))
+		go n.dispatcher.MoveStreams(n.ctx, now, n.noticeLeft(&now))
 	}
 }
 
