--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -51,8 +51,8 @@
 
 type orderer struct {
 	n          *Node
-	mixes      map[string]*autoscale.Mix
-	rates      map[string]*autoscale.Rate
+	mixes      map[string]*autoscale.MixPlanner
+	rates      map[string]*autoscale.RateEstimator
 	orders     map[orderKey]placedOrder
 	token      int64 // of the term that the orders belong to
 	floor      orderFloor
@@ -62,7 +62,7 @@
 }
 
 func newOrderer(n *Node) *orderer {
-	return &orderer{n: n, mixes: make(map[string]*autoscale.Mix), rates: make(map[string]*autoscale.Rate), orders: make(map[orderKey]placedOrder)}
+	return &orderer{n: n, mixes: make(map[string]*autoscale.MixPlanner), rates: make(map[string]*autoscale.RateEstimator), orders: make(map[orderKey]placedOrder)}
 }
 
 // step measures the load, and orders missing upstreams.
@@ -90,7 +90,7 @@
 		if e := o.n.pools.Engine(name); e.Known() {
 			engines[name] = e
 		}
-		load := o.rate(name).Take(now, o.n.workSums(now, name), o.n.silenceLimit())
+		load := o.rate(name).Estimate(now, o.n.workSums(now, name), o.n.silenceLimit())
 		publishFigures(name, engines[name], load)
 		halls := o.hallStates(s)
 		o.mix(s).Observe(o.n.clock.Since(o.n.start), load, halls)
@@ -117,23 +117,23 @@
 	return now.Sub(o.n.start) >= settlePeriod && now.Sub(o.listGrewAt) >= listQuietPeriod
 }
 
-func (o *orderer) rate(service string) *autoscale.Rate {
+func (o *orderer) rate(service string) *autoscale.RateEstimator {
 	r := o.rates[service]
 	if r == nil {
-		r = &autoscale.Rate{}
+		r = &autoscale.RateEstimator{}
 		o.rates[service] = r
 	}
 	return r
 }
 
 // workSums returns what each node has sent to a service's engines since its start.
-func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Sum {
-	sums := map[string]autoscale.Sum{n.settings.Node: {Value: n.pools.Work()[service], At: now}}
+func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Counter {
+	sums := map[string]autoscale.Counter{n.settings.Node: {Value: n.pools.Work()[service], ReceivedAt: now}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, p := range n.peers.peers {
 		if p.work != nil {
-			sums[name] = autoscale.Sum{Value: p.work[service], At: p.lastSeen}
+			sums[name] = autoscale.Counter{Value: p.work[service], ReceivedAt: p.lastSeen}
 		}
 	}
 	return sums
@@ -146,12 +146,12 @@
 	return pair.Silent(n.peers.size())
 }
 
-func (o *orderer) mix(s *catalog.ServiceSpec) *autoscale.Mix {
+func (o *orderer) mix(s *catalog.ServiceSpec) *autoscale.MixPlanner {
 	m := o.mixes[s.Name]
 	if m == nil {
-		v := autoscale.MixDefaults(s.Scaling.Boot)
-		v.Fresh = o.n.settings.FirstStart
-		m = autoscale.NewMix(v)
+		v := autoscale.DefaultMixOptions(s.Scaling.Boot)
+		v.FirstStart = o.n.settings.FirstStart
+		m = autoscale.NewMixPlanner(v)
 		o.mixes[s.Name] = m
 	}
 	return m
@@ -231,7 +231,7 @@
 }
 
 // order orders a count if it changed, or if the hall hasn't had it for a while.
-func (o *orderer) order(ctx context.Context, token int64, m *autoscale.Mix, s orderKey, count int, have map[orderKey]int, load capacity.Work) {
+func (o *orderer) order(ctx context.Context, token int64, m *autoscale.MixPlanner, s orderKey, count int, have map[orderKey]int, load capacity.Work) {
 	now := o.n.clock.Now()
 	count = max(count, o.floor.minCount(now, s))
 	if o.n.isRollingOut(s.service) {
@@ -268,7 +268,7 @@
 	e := o.n.pools.Engine(s.service)
 	o.n.log.Info("order", zap.String("service", s.service), zap.String("hall", s.hall), zap.Bool("reclaimable", s.reclaimable), zap.Int("count", count),
 		zap.Int("have", have[s]), zap.Float64("load", roundHundredths(load.Reading)), zap.Float64("slots", roundHundredths(load.Slots)), zap.Float64("memory", roundHundredths(load.Memory)),
-		zap.Stringer("binds", m.Binds()), zap.Float64("reading", roundHundredths(e.Reading)), zap.Float64("first_ms", roundHundredths(e.First)), zap.Float64("token_ms", roundHundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
+		zap.Stringer("binds", m.BindingResource()), zap.Float64("reading", roundHundredths(e.Reading)), zap.Float64("first_ms", roundHundredths(e.First)), zap.Float64("token_ms", roundHundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
 }
 
 // engineFigures holds the engine figures and the load, by service.
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -52,7 +52,7 @@
 	catalogVersion int64                  // of its configuration
 	listRevision   int64                  // of its upstream list
 	work           map[string]capacity.Work
-	trials         []rollout.Word
+	trials         []rollout.Update
 	reach          pool.Reachability
 	relay          relayState
 }
--- a/internal/edge/rollout_runner.go
+++ b/internal/edge/rollout_runner.go
@@ -86,8 +86,8 @@
 // read restores the progress of a roll-out. It reads the order itself, too: this node may know it only from
 // peers, whose updates don't contain the duration.
 func (r *runner) read(ctx context.Context, o rollout.Order) (*rolloutState, error) {
-	v := &rolloutState{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
-	v.state.Since = v.state.Began
+	v := &rolloutState{state: rollout.State{Order: o, OrderedAt: r.n.clock.Now()}}
+	v.state.Since = v.state.OrderedAt
 	if err := r.readOrder(ctx, v); err != nil {
 		return nil, err
 	}
@@ -157,11 +157,11 @@
 		return errUnknownStage
 	}
 	v.isWritten = true
-	v.state.Stage, v.state.Answers, v.state.Seen, v.writtenAt = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
-	v.state.Found = v.writtenAt
-	v.state.Began, v.state.Since = time.UnixMilli(b.StartedMs), time.UnixMilli(b.SinceMs)
+	v.state.Stage, v.state.Responses, v.state.PriorResponses, v.writtenAt = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
+	v.state.FoundAt = v.writtenAt
+	v.state.OrderedAt, v.state.Since = time.UnixMilli(b.StartedMs), time.UnixMilli(b.SinceMs)
 	r.n.log.Info("rollout_found", zap.String("service", v.state.Order.Service), zap.Int64("order", b.Order), zap.Stringer("stage", b.Stage),
-		zap.Duration("age", r.n.clock.Since(v.state.Began)))
+		zap.Duration("age", r.n.clock.Since(v.state.OrderedAt)))
 	r.announceStage(v)
 	return nil
 }
@@ -175,7 +175,7 @@
 	if t == nil || t.Order().Revision != v.state.Order.Revision {
 		return
 	}
-	t.Raise(n.clock.Now(), v.state.Stage)
+	t.AdvanceTo(n.clock.Now(), v.state.Stage)
 	n.applySplit(n.clock.Now(), v.state.Order.Service)
 }
 
@@ -189,21 +189,21 @@
 		return
 	}
 	now := r.n.clock.Now()
-	v.state = v.state.Settle(now, f.Answers)
+	v.state = v.state.ResolveTakeover(now, f.Responses)
 	next, cause := v.state.Next(now, f)
 	same := next == v.state.Stage
 	if same && v.isWritten {
 		r.logWait(v, cause, f)
-		if now.Sub(v.writtenAt) < rollout.SeenEvery {
+		if now.Sub(v.writtenAt) < rollout.ResponsesWriteInterval {
 			return
 		}
 	}
 	s := v.state
 	if !same {
-		s = s.Go(now, next, f.Answers)
+		s = s.Advance(now, next, f.Responses)
 	}
 	v.writtenAt = now
-	if err := r.write(ctx, v, s, f.Answers, failed); err != nil {
+	if err := r.write(ctx, v, s, f.Responses, failed); err != nil {
 		r.n.log.Info("rollout_unwritten", zap.String("service", s.Order.Service), zap.Stringer("stage", next), zap.String("cause", err.Error()))
 		delete(r.states, s.Order.Service) // the stored state is read again
 		return
@@ -227,13 +227,13 @@
 	if t == nil || t.Order().Revision != o.Revision {
 		return rollout.Facts{}, 0, false
 	}
-	t.SignNow(n.clock.Now(), r.token)
+	t.IssueKeepAlive(n.clock.Now(), r.token)
 	v.withdrawn = v.withdrawn || n.rollouts.withdrawn[o.Service] > o.Revision
-	answers, failed := t.Total().Answers()
+	answers, failed := t.Total().Responses()
 	f := rollout.Facts{
-		Invalid: o.Check() != nil && !v.withdrawn, Withdrawn: v.withdrawn, Answers: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
+		Invalid: o.Check() != nil && !v.withdrawn, Withdrawn: v.withdrawn, Responses: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
 	}
-	f.Target, f.Others, f.Running = n.pools.Versions(o.Service, o.Target)
+	f.Target, f.OtherVersions, f.Running = n.pools.Versions(o.Service, o.Target)
 	if !n.listed.Load() {
 		f.Target = 0
 	}
@@ -253,7 +253,7 @@
 		return err
 	}
 	b, err := json.Marshal(rolloutStageValue{
-		Order: s.Order.Revision, Target: s.Order.Target, StartedMs: s.Began.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Answers, Seen: seen, Failed: failed,
+		Order: s.Order.Revision, Target: s.Order.Target, StartedMs: s.OrderedAt.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Responses, Seen: seen, Failed: failed,
 	})
 	if err != nil {
 		return err
@@ -286,7 +286,7 @@
 	}
 	v.loggedWait = cause
 	r.n.log.Info("rollout_waits", zap.String("service", v.state.Order.Service), zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause),
-		zap.Int64("answers", f.Answers), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
+		zap.Int64("answers", f.Responses), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions))
 }
 
 // rolloutStages holds the stage number of each service's last roll-out.
@@ -298,7 +298,7 @@
 	stage.Set(int64(v.state.Stage))
 	rolloutStages.Set(o.Service, stage)
 	r.n.log.Info("rollout_stage", zap.String("service", o.Service), zap.String("target", o.Target), zap.Int64("order", o.Revision),
-		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.Began)), zap.Duration("duration", o.Duration),
-		zap.Int64("answers", f.Answers), zap.Int64("failed", failed), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
-		zap.Int("upstreams", f.Target), zap.Int("others", f.Others), zap.Int("running", f.Running), zap.Int64("token", r.token))
+		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.OrderedAt)), zap.Duration("duration", o.Duration),
+		zap.Int64("answers", f.Responses), zap.Int64("failed", failed), zap.Float64("suspicion", roundHundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
+		zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions), zap.Int("running", f.Running), zap.Int64("token", r.token))
 }
--- a/internal/edge/rollout_runner_test.go
+++ b/internal/edge/rollout_runner_test.go
@@ -78,9 +78,9 @@
 // recordResponses records the given number of responses of the target at a node.
 func recordResponses(n *Node, count int) {
 	for i := 0; i < count; i++ {
-		n.recordResponse("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
+		n.recordResponse("s", "r", i%2, rollout.Response{Started: true, First: 1})
 		for k := 0; k < 3; k++ {
-			n.recordResponse("s", "r", -1, rollout.Answer{Begun: true, First: 1})
+			n.recordResponse("s", "r", -1, rollout.Response{Started: true, First: 1})
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	token := acquireLease(t, b)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageTrial)
-	assert.True(t, b.rollouts.trials["s"].Signed(r.clock.Service().Now()))
+	assert.True(t, b.rollouts.trials["s"].HasKeepAlive(r.clock.Service().Now()))
 	r.clock.Advance(time.Second)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageRolledBack)
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -28,7 +28,7 @@
 	trials       map[string]*rollout.Trial  // by service
 	barred       map[string]map[string]bool // versions that get no requests any more, by service
 	withdrawn    map[string]int64           // revision at which an order was withdrawn, by service
-	digestTrials []rollout.Word             // from the last digest
+	digestTrials []rollout.Update           // from the last digest
 }
 
 func newRollouts() rollouts {
@@ -90,7 +90,7 @@
 		}
 		service := p.Key[len(rolloutStagePrefix):]
 		if t := n.rollouts.trials[service]; t != nil && (t.Order().Revision == v.Order || t.Order().Continues(v.Order, v.Target)) {
-			t.Raise(now, v.Stage)
+			t.AdvanceTo(now, v.Stage)
 			n.applySplit(now, service)
 			n.log.Info("rollout_found", zap.String("service", service), zap.Int64("order", v.Order), zap.Stringer("stage", v.Stage))
 		}
@@ -127,12 +127,12 @@
 }
 
 // mergeTrials merges what other nodes know of roll-outs. The node's lock is held.
-func (n *Node) mergeTrials(now time.Time, updates []rollout.Word, source string) {
+func (n *Node) mergeTrials(now time.Time, updates []rollout.Update, source string) {
 	for _, w := range updates {
 		n.startTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
 		stage, stopped := t.Stage(), t.Stopped()
-		t.Hear(now, w)
+		t.ApplyUpdate(now, w)
 		if t.Stage() != stage || t.Stopped() != stopped {
 			n.log.Info("rollout_heard", zap.String("service", w.Service), zap.Int64("order", w.Order), zap.Stringer("stage", t.Stage()),
 				zap.Bool("stopped", t.Stopped()), zap.String("source", source))
@@ -156,7 +156,7 @@
 	}
 	for service, t := range n.rollouts.trials {
 		for _, w := range updates {
-			if w.Service == service && w.Order == t.Order().Revision && t.Others(w.Tally) {
+			if w.Service == service && w.Order == t.Order().Revision && t.SetPeerTally(w.Tally) {
 				n.logStop(t, "responses at other nodes")
 			}
 		}
@@ -166,10 +166,10 @@
 
 // trialUpdates returns this node's updates on roll-outs. The node's lock is held; the updates have to be
 // encoded under it.
-func (n *Node) trialUpdates() []rollout.Word {
-	var list []rollout.Word
+func (n *Node) trialUpdates() []rollout.Update {
+	var list []rollout.Update
 	for _, t := range n.rollouts.trials {
-		list = append(list, t.Word())
+		list = append(list, t.Update())
 	}
 	return list
 }
@@ -187,7 +187,7 @@
 		bars[target] = true
 	}
 	n.pools.SetSplit(service, pool.Split{
-		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, TargetAsFallback: t.Stage() == rollout.StageWaiting && !t.Stopped(), TrialUpstreams: t.Trials(others), Barred: bars,
+		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, TargetAsFallback: t.Stage() == rollout.StageWaiting && !t.Stopped(), TrialUpstreams: t.TrialUpstreams(others), Barred: bars,
 	})
 }
 
@@ -195,7 +195,7 @@
 	v := t.Verdict()
 	n.log.Warn("rollout_stopped", zap.String("service", t.Order().Service), zap.Int64("order", t.Order().Revision), zap.Stringer("stage", t.Stage()),
 		zap.Stringer("reason", v.Reason), zap.String("route", v.Route), zap.Float64("sum", roundHundredths(v.Sum)),
-		zap.Float64("target_rate", roundHundredths(v.Target)), zap.Float64("others_rate", roundHundredths(v.Others)), zap.String("source", source))
+		zap.Float64("target_rate", roundHundredths(v.TargetRate)), zap.Float64("others_rate", roundHundredths(v.InServiceRate)), zap.String("source", source))
 }
 
 // offerTrial reports whether a request goes to a version on trial.
@@ -203,7 +203,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
-	return t != nil && t.Offer(n.clock.Now(), route)
+	return t != nil && t.TakeCredit(n.clock.Now(), route)
 }
 
 // returnOffer takes back an offer that wasn't used.
@@ -211,19 +211,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if t := n.rollouts.trials[service]; t != nil {
-		t.Return(route)
+		t.ReturnCredit(route)
 	}
 }
 
 // recordResponse records a response of a service under a roll-out.
-func (n *Node) recordResponse(service, route string, rank int, a rollout.Answer) {
+func (n *Node) recordResponse(service, route string, rank int, a rollout.Response) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
 	if t == nil || t.Stage().Ended() {
 		return
 	}
-	if t.Note(route, rank, a) {
+	if t.Observe(route, rank, a) {
 		n.logStop(t, "responses at this node")
 		n.applySplit(n.clock.Now(), service)
 	}
@@ -280,10 +280,10 @@
 	r := &wire.RolloutsResponse{}
 	for service, t := range n.rollouts.trials {
 		o, v := t.Order(), t.Verdict()
-		answers, failed := t.Total().Answers()
+		answers, failed := t.Total().Responses()
 		of, others, running := n.pools.Versions(service, o.Target)
 		m := &wire.Rollout{
-			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.Signed(now), Answers: answers,
+			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.HasKeepAlive(now), Answers: answers,
 			Failed: failed, Suspicion: t.Suspicion(), Reason: v.Reason.String(), Route: v.Route, Upstreams: int64(of), Others: int64(others), Running: int64(running),
 		}
 		if !t.Since().IsZero() {
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -198,7 +198,7 @@
 	}
 	a.finish(s.resultOf(ctx, a, err))
 	if ctx.Err() == nil && errors.Is(err, errIncompleteResponse) && !a.quarantined() {
-		s.o.Trials.Record(q.service, q.route.Name(), use.Rank(), rollout.Answer{Failed: true})
+		s.o.Trials.Record(q.service, q.route.Name(), use.Rank(), rollout.Response{Failed: true})
 	}
 	f := append(choiceFields(use), zap.String("request", q.meta.ID),
 		zap.String("address", use.Entry().Address), zap.Int("send", q.sends), zap.Duration("after", s.o.Clock.Since(q.arrived)),
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -100,7 +100,7 @@
 	Return func(service, route string)
 	// Record records a response of an upstream whose version has that rank among the target's versions;
 	// -1 is any other version.
-	Record func(service, route string, rank int, a rollout.Answer)
+	Record func(service, route string, rank int, a rollout.Response)
 	// ShouldMove reports whether a stream at an upstream outside the target's versions is to continue at
 	// the target.
 	ShouldMove func(service string) bool
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -108,7 +108,7 @@
 		err = withCause(err, c)
 	}
 	t.a.finish(pool.ResultFailed)
-	t.recordTrial(rollout.Answer{Failed: true, Later: true})
+	t.recordTrial(rollout.Response{Failed: true, AfterStart: true})
 	f := []zap.Field{
 		zap.String("request", t.q.meta.ID), zap.String("upstream", t.a.use.Entry().ID), zap.String("last_event", t.lastEventID), zap.String("cause", fault.Reason(err)),
 	}
--- a/internal/forward/trial.go
+++ b/internal/forward/trial.go
@@ -32,12 +32,12 @@
 
 // recordTrialStart records an attempt whose response has started.
 func (s *Server) recordTrialStart(q *request, a *attempt) {
-	v := rollout.Answer{Begun: true, First: a.use.Lag(), Failed: a.head.StatusCode >= http.StatusInternalServerError}
+	v := rollout.Response{Started: true, First: a.use.Lag(), Failed: a.head.StatusCode >= http.StatusInternalServerError}
 	s.o.Trials.Record(q.service, q.route.Name(), a.use.Rank(), v)
 }
 
 // recordTrial records a result of the stream's response.
-func (t *stream) recordTrial(a rollout.Answer) {
+func (t *stream) recordTrial(a rollout.Response) {
 	t.s.o.Trials.Record(t.q.service, t.q.route.Name(), t.a.use.Rank(), a)
 }
 
@@ -56,7 +56,7 @@
 		return
 	}
 	d := t.lastEventAt.Sub(t.a.firstEventAt) / (paceEvents - 1)
-	t.recordTrial(rollout.Answer{Pace: float64(d) / float64(time.Millisecond)})
+	t.recordTrial(rollout.Response{Pace: float64(d) / float64(time.Millisecond)})
 }
 
 // errMoved means that a stream continues elsewhere although its upstream is healthy.
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -139,15 +139,15 @@
 }
 
 // TrialsToWire returns the message of what is known of roll-outs.
-func TrialsToWire(l []rollout.Word) []*wire.Trial {
+func TrialsToWire(l []rollout.Update) []*wire.Trial {
 	var r []*wire.Trial
 	for _, w := range l {
 		t := &wire.Trial{
-			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.Sign.Term, Beat: w.Sign.Beat, Stopped: w.Stopped,
+			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.KeepAlive.Term, Beat: w.KeepAlive.Sequence, Stopped: w.Stopped,
 		}
 		w.Tally.Cells(func(route string, group int, c *rollout.Cell) {
 			t.Cells = append(t.Cells, &wire.TrialCell{
-				Route: route, Group: int32(group), Answers: c.Answers, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
+				Route: route, Group: int32(group), Answers: c.Responses, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
 			})
 		})
 		r = append(r, t)
@@ -156,19 +156,19 @@
 }
 
 // TrialsFromWire is the inverse of TrialsToWire.
-func TrialsFromWire(l []*wire.Trial) []rollout.Word {
-	var r []rollout.Word
+func TrialsFromWire(l []*wire.Trial) []rollout.Update {
+	var r []rollout.Update
 	for _, t := range l {
 		if !rollout.Stage(t.Stage).Known() {
 			continue // of a node of another version; what isn't known here can't be followed
 		}
-		w := rollout.Word{
-			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), Sign: rollout.Sign{Term: t.Term, Beat: t.Beat},
+		w := rollout.Update{
+			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), KeepAlive: rollout.KeepAlive{Term: t.Term, Sequence: t.Beat},
 			Stopped: t.Stopped, Tally: make(rollout.Tally),
 		}
 		for _, c := range t.Cells {
 			w.Tally.Set(c.Route, int(c.Group), rollout.Cell{
-				Answers: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
+				Responses: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
 			})
 		}
 		r = append(r, w)
--- a/internal/relay/aggregator.go
+++ b/internal/relay/aggregator.go
@@ -30,8 +30,8 @@
 	started       usage.Windows
 	loads         []pool.Load // of nodes that report to this relay only
 	reachability  pool.Reachability
-	trials        []rollout.Word
-	pastTrials    []rollout.Word // of the node's former processes
+	trials        []rollout.Update
+	pastTrials    []rollout.Update // of the node's former processes
 }
 
 type counter struct {
@@ -46,7 +46,7 @@
 	unresponsive bool // no group received recently
 	version      uint64
 	share        pool.PeerLoad
-	trials       []rollout.Word
+	trials       []rollout.Update
 }
 
 type loggedPlacement struct {
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -75,8 +75,8 @@
 
 // peerTrials merges what the other relays' nodes have observed of roll-outs. An unresponsive relay does not
 // count: its nodes report through another one, or are partitioned.
-func (a *Aggregator) peerTrials(now time.Time) []rollout.Word {
-	var sum []rollout.Word
+func (a *Aggregator) peerTrials(now time.Time) []rollout.Update {
+	var sum []rollout.Update
 	for _, g := range a.groups {
 		if now.Sub(g.receivedAt) <= unresponsiveAfter {
 			sum = rollout.Merge(sum, g.trials)
@@ -87,8 +87,8 @@
 
 // ownTrials merges what this relay's nodes, except one, have observed of roll-outs, including unresponsive
 // nodes: their observations remain valid.
-func (a *Aggregator) ownTrials(except string) []rollout.Word {
-	var sum []rollout.Word
+func (a *Aggregator) ownTrials(except string) []rollout.Update {
+	var sum []rollout.Update
 	for name, v := range a.records {
 		if v.relay != a.self {
 			continue
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 	Placed       []pool.Placement
 	Spent        map[string]float64 // tokens charged since the process started, by workspace
 	Started      usage.Windows      // requests started, in the newest windows
-	Trials       []rollout.Word
+	Trials       []rollout.Update
 	Reachability pool.Reachability
 }
 
@@ -86,7 +86,7 @@
 	Relays       map[string]time.Duration // age of each relay's last group
 	Changes      []Change
 	Placed       []pool.Placement
-	Trials       []rollout.Word    // of all nodes but the receiver
+	Trials       []rollout.Update  // of all nodes but the receiver
 	Reachability pool.Reachability // of the other nodes that report to this relay
 }
 
@@ -98,5 +98,5 @@
 	Share       pool.PeerLoad
 	Changes     []Change
 	Placed      []pool.Placement
-	Trials      []rollout.Word
+	Trials      []rollout.Update
 }
