--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -71,12 +71,12 @@
 	mu    sync.Mutex
 	pools map[string]*pool
 
-	suspects *quarantine.Book
+	suspects *quarantine.Tracker
 }
 
 // New returns a dispatcher without pools; they come with use.
 func New(o Options) *Dispatcher {
-	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), suspects: quarantine.NewBook(o.Node)}
+	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), suspects: quarantine.NewTracker(o.Node)}
 }
 
 func (d *Dispatcher) now() time.Duration { return d.o.Clock.Since(d.start) }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -85,7 +85,7 @@
 	pools    *pool.Pools
 	lines    *forward.Lines
 	front    *forward.Server
-	suspects *quarantine.Book // requests that end upstreams
+	suspects *quarantine.Tracker // requests that end upstreams
 	lease    *lease.Lease
 
 	catalogReader *follower
@@ -150,7 +150,7 @@
 	n.usage = usage.New(s.Node, o.Lifetime, s.UsageWindow)
 	n.peers = newTable(n)
 	n.book = relay.NewBook(s.Node, o.Lifetime)
-	n.suspects = quarantine.NewBook(s.Node)
+	n.suspects = quarantine.NewTracker(s.Node)
 	n.rollouts = newRollouts()
 	n.catalogReader = n.catalogFollower()
 	n.listReader = n.listFollower()
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -88,7 +88,7 @@
 	// Trials is how requests take part in roll-outs.
 	Trials Trials
 	// Suspects knows the requests that end upstreams.
-	Suspects *quarantine.Book
+	Suspects *quarantine.Tracker
 	// Reaches tells whether the way to a hall is open.
 	Reaches func(ctx context.Context, hall string) bool
 }
@@ -156,7 +156,7 @@
 	use       *pool.Use     // of the last attempt
 	said      call.Answer   // by that upstream
 	failure   *answer       // an upstream's own failure, to be passed on if nothing betters it
-	print     *quarantine.Print
+	print     *quarantine.Fingerprint
 }
 
 func (q *request) workspaceName() string {
