--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -29,7 +29,7 @@
 	}
 	n.noteUnread(e, v.Unread)
 	if n.pools.HearLimit(e, v.Limit, sent) {
-		n.noteLimit("answer", limit.Word{Of: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
+		n.noteLimit("answer", limit.Observation{Upstream: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
 	}
 }
 
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -25,8 +25,8 @@
 }
 
 // noteLimit tells that a limit is named, changed or lifted, and who said so.
-func (n *Node) noteLimit(source string, w limit.Word) {
-	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
+func (n *Node) noteLimit(source string, w limit.Observation) {
+	f := []zap.Field{zap.String("upstream", w.Upstream.ID), zap.Int64("born", w.Upstream.Born), zap.String("source", source)}
 	if w.Lifted {
 		upstreamEvents.Add("limits_lifted", 1)
 		n.log.Info("limit_lifted", f...)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -281,19 +281,19 @@
 }
 
 // LimitsToWire returns the messages of what upstreams take from all nodes together.
-func LimitsToWire(now time.Time, words []limit.Word) []*wire.Limited {
+func LimitsToWire(now time.Time, words []limit.Observation) []*wire.Limited {
 	list := make([]*wire.Limited, len(words))
 	for i, w := range words {
-		list[i] = &wire.Limited{Upstream: w.Of.ID, Born: w.Of.Born, Rate: w.Rate, Lifted: w.Lifted, AgeMs: now.Sub(w.At).Milliseconds()}
+		list[i] = &wire.Limited{Upstream: w.Upstream.ID, Born: w.Upstream.Born, Rate: w.Rate, Lifted: w.Lifted, AgeMs: now.Sub(w.At).Milliseconds()}
 	}
 	return list
 }
 
 // LimitsFromWire is the inverse of LimitsToWire.
-func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
-	words := make([]limit.Word, len(list))
+func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Observation {
+	words := make([]limit.Observation, len(list))
 	for i, v := range list {
-		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
+		words[i] = limit.Observation{Upstream: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
 	}
 	return words
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -118,7 +118,7 @@
 	versions map[string]map[string]time.Time // when each was first seen, by service
 	filled   bool                            // the list has been read
 	rests    *retry.Rests                    // that upstreams have asked of this node
-	limits   *limit.Book                     // that upstreams name for all nodes together
+	limits   *limit.Tracker                     // that upstreams name for all nodes together
 }
 
 // service is what is known of one service.
@@ -148,7 +148,7 @@
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
 		peers: make(map[string]peerLoad), known: make(map[string]*service), reached: make(map[string]time.Time),
-		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewRests(), limits: limit.NewBook(node),
+		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewRests(), limits: limit.NewTracker(node),
 	}
 }
 
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -70,26 +70,26 @@
 	defer p.mu.Unlock()
 	switch l.Word {
 	case call.LimitNamed:
-		return p.limits.Named(p.clock.Now(), sent, e.Lifetime(), l.Rate)
+		return p.limits.ObserveRate(p.clock.Now(), sent, e.Lifetime(), l.Rate)
 	case call.LimitNone:
-		return p.limits.Unnamed(p.clock.Now(), sent, e.Lifetime())
+		return p.limits.ObserveNoRate(p.clock.Now(), sent, e.Lifetime())
 	case call.LimitUnclear, call.LimitUnheard:
 	}
 	return false
 }
 
 // TakeLimits takes in what another node knows of limits, and returns what is news.
-func (p *Pools) TakeLimits(words []limit.Word) []limit.Word {
+func (p *Pools) TakeLimits(words []limit.Observation) []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Hear(p.clock.Now(), words)
+	return p.limits.Merge(p.clock.Now(), words)
 }
 
 // Limits returns what is known of limits, for other nodes.
-func (p *Pools) Limits() []limit.Word {
+func (p *Pools) Limits() []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Words(p.clock.Now())
+	return p.limits.Observations(p.clock.Now())
 }
 
 // SetSenders says which nodes share limits, and which of them place requests at engines for all others.
--- a/internal/pool/state.go
+++ b/internal/pool/state.go
@@ -42,7 +42,7 @@
 func (p *Pools) state(now time.Time, m *member) State {
 	l := m.entry.Lifetime()
 	s := State{Entry: m.entry, Misplaced: m.gone, Rest: p.rests.Left(now, l), Slowness: m.pace.slowness(now), Unreached: -1, Running: m.load.Running}
-	if w, share, named := p.limits.Look(now, l); named {
+	if w, share, named := p.limits.Lookup(now, l); named {
 		s.Limited, s.Rate, s.LimitAge, s.Share = true, w.Rate, now.Sub(w.At), share
 	}
 	if d := now.Sub(m.silent); d < unreachableKeeps {
