--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -211,7 +211,7 @@
 		return
 	}
 	n.shared = now
-	n.quotas.Round(now, every, lag)
+	n.quotas.StartRound(now, every, lag)
 }
 
 // tell swaps reports with one node.
@@ -318,7 +318,7 @@
 	for _, v := range r.Work {
 		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
-	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
+	n.quotas.ApplyUpdate(now, quota.Update{Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
 	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -184,7 +184,7 @@
 	for _, w := range words {
 		covered[w.Node] = true
 		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Lifetime && p.sequence > w.Sequence) {
-			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
+			n.quotas.ApplyUpdate(now, quota.Update{Node: w.Node, Incarnation: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
 	n.relayed, n.covered, n.rollouts.others = now, covered, d.Trials
