--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 test: ## every test but those known to fail, with the race detector; the played ones also without, with more seeds
 	@if test -s KNOWN-RED.txt; then echo "passed over, as known to fail:"; cat KNOWN-RED.txt; fi
 	go test -race -count=1 $(SKIP) ./...
-	go test -count=1 $(SKIP) -run 'Rollouts$$|Fleets$$|Alike$$' ./internal/model ./internal/quarantine
+	go test -count=1 $(SKIP) -run 'Rollouts$$|Fleets$$|SimilarRequests$$' ./internal/model ./internal/quarantine
 
 check: ## format, vet and lint
 	@out=$$($(TOOL) gofumpt -l $(SOURCES)); test -z "$$out" || { echo "gofumpt differs:"; echo "$$out"; exit 1; }
--- a/internal/quarantine/alike_test.go
+++ b/internal/quarantine/alike_test.go
@@ -11,48 +11,49 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// This file plays callers whose requests end upstreams and aren't quite the same, or come many at once,
-// beside others of the same workspace. A caller sends the next one when the one before has an end.
+// This file simulates callers that send requests which crash upstreams and are similar, or come many at
+// once, beside others of the same workspace. A caller sends its next request when the one before has
+// ended.
 
 // caller sends requests one after the other.
 type caller struct {
-	bodies []string
-	gap    time.Duration // from the end of one to the next
-	next   time.Duration
-	flying string
+	bodies   []string
+	gap      time.Duration // between the end of a request and the next one
+	next     time.Duration
+	inFlight string
 }
 
-// step sends the next request if it is time.
-func (c *caller) step(p *play) {
-	if c.flying != "" {
-		if slices.ContainsFunc(p.flights, func(f *flight) bool { return f.body == c.flying && f.of == c }) {
+// step sends the next request if it is due.
+func (c *caller) step(p *simulation) {
+	if c.inFlight != "" {
+		if slices.ContainsFunc(p.flights, func(f *flight) bool { return f.body == c.inFlight && f.caller == c }) {
 			return
 		}
-		c.flying, c.next = "", p.now+c.gap
+		c.inFlight, c.next = "", p.now+c.gap
 	}
 	if len(c.bodies) == 0 || p.now < c.next {
 		return
 	}
-	c.flying, c.bodies = c.bodies[0], c.bodies[1:]
-	p.send(flight{node: p.r.Intn(len(p.nodes)), body: c.flying, tries: 1, of: c})
+	c.inFlight, c.bodies = c.bodies[0], c.bodies[1:]
+	p.send(flight{node: p.r.Intn(len(p.nodes)), body: c.inFlight, callerAttempts: 1, caller: c})
 }
 
-// rollingWave ends six tenths of the upstreams, each six seconds, one after the other within 0.4 s.
-func (p *play) rollingWave() {
+// rollingWave crashes 60 % of the upstreams every six seconds, one after the other within 0.4 s.
+func (p *simulation) rollingWave() {
 	const over = 400 * time.Millisecond
 	if left := over - (p.now+3*time.Second)%(6*time.Second); left > 0 {
 		for u := range p.down {
-			if p.r.Int63n(int64(over/playTick)*10) < 6 && p.down[u] <= p.now {
-				p.end(u)
+			if p.r.Int63n(int64(over/tick)*10) < 6 && p.down[u] <= p.now {
+				p.crash(u)
 			}
 		}
 	}
 }
 
-// harmlessDenied is how many harmless requests lost their second try.
-func (p *play) harmlessDenied() int {
+// harmlessWithoutRetry returns how many harmless requests were denied their retry.
+func (p *simulation) harmlessWithoutRetry() int {
 	n := 0
-	for body := range p.denied {
+	for body := range p.deniedRetries {
 		if !isDeadly(body) {
 			n++
 		}
@@ -60,17 +61,17 @@
 	return n
 }
 
-// sum is how many upstreams deadly requests ended in all.
-func (p *play) sum() int {
+// totalCrashes returns how many upstreams deadly requests crashed in all.
+func (p *simulation) totalCrashes() int {
 	n := 0
-	for _, v := range p.ended {
+	for _, v := range p.crashed {
 		n += v
 	}
 	return n
 }
 
-// alike is bodies that differ in a counter.
-func alike(kind string, from, count int) []string {
+// numbered returns bodies that differ in a counter.
+func numbered(kind string, from, count int) []string {
 	var list []string
 	for i := range count {
 		list = append(list, fmt.Sprintf("%s %06d", kind, from+i))
@@ -78,22 +79,23 @@
 	return list
 }
 
-// drawnID is an id of 8 to 36 characters, as callers make them: hexadecimal with dashes, letters and digits, or digits.
-func drawnID(r *rand.Rand) string {
+// randomID returns an ID of 8 to 36 characters as callers generate them: hexadecimal with dashes, letters
+// and digits, or digits only.
+func randomID(r *rand.Rand) string {
 	const all = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 	base := []string{all[:10], all[:16], all}[r.Intn(3)]
 	b := make([]byte, 8+r.Intn(29))
 	for i := range b {
 		b[i] = base[r.Intn(len(base))]
 	}
-	b[r.Intn(len(b))] = base[r.Intn(10)] // one digit at least
+	b[r.Intn(len(b))] = base[r.Intn(10)] // at least one digit
 	if len(b) == 36 {
 		b[8], b[13], b[18], b[23] = '-', '-', '-', '-'
 	}
 	return string(b)
 }
 
-// varied is bodies of one text, which differ as a function says. They are long, as prompts are.
+// varied returns bodies that differ as the function says. They are as long as prompts.
 func varied(count int, differ func(r *rand.Rand, i int) string) []string {
 	r := rand.New(rand.NewSource(int64(count)))
 	list := make([]string, count)
@@ -105,14 +107,14 @@
 
 const text = " You are an assistant of a shop. Answer in short sentences, and say so where you don't know. "
 
-// playAlike plays callers beside harmless requests, whose bodies rest gives, until all have sent theirs.
-func playAlike(p *play, callers []*caller, rest func(i int) string, waves bool) {
+// playCallers simulates callers beside harmless requests, until all callers have sent their requests.
+func playCallers(p *simulation, callers []*caller, harmless func(i int) string, waves bool) {
 	sent, nodes := 0, len(p.nodes)
 	for p.now < 20*time.Second || slices.ContainsFunc(callers, func(c *caller) bool { return len(c.bodies) > 0 }) {
 		for range max(1, nodes/4) {
-			body := rest(sent)
+			body := harmless(sent)
 			sent++
-			p.innocent[body] = true
+			p.harmless[body] = true
 			p.send(flight{node: p.r.Intn(nodes), body: body})
 		}
 		for _, c := range callers {
@@ -121,68 +123,68 @@
 		if waves {
 			p.rollingWave()
 		}
-		p.land()
-		if p.now%playRound == 0 {
-			p.tell()
-			p.withdraw()
+		p.finish()
+		if p.now%roundInterval == 0 {
+			p.exchange()
+			p.cancelQuarantined()
 		}
-		p.now += playTick
+		p.now += tick
 	}
 }
 
-// TestAlike: what requests that end upstreams, and are alike, cost in upstreams, and what it costs the
-// harmless ones beside them.
-func TestAlike(t *testing.T) {
+// TestSimilarRequests bounds how many upstreams similar requests crash, and how many harmless requests
+// beside them are rejected or not retried.
+func TestSimilarRequests(t *testing.T) {
 	other := func(i int) string { return fmt.Sprintf("harmless %08d", i) } // of other lengths
 	same := func(i int) string { return fmt.Sprintf("harml1 %05d", i) }    // as long as the deadly ones
 	series := func(count int, gap time.Duration) func() []*caller {
-		return func() []*caller { return []*caller{{bodies: alike("deadl", 0, count), gap: gap}} }
+		return func() []*caller { return []*caller{{bodies: numbered("deadl", 0, count), gap: gap}} }
 	}
-	nobody := func() []*caller { return nil }
+	noCallers := func() []*caller { return nil }
 	atOnce := func() []*caller {
 		var list []*caller
 		for range 12 {
-			list = append(list, &caller{bodies: slices.Repeat(alike("deadl", 0, 1), 5), gap: 200 * time.Millisecond})
+			list = append(list, &caller{bodies: slices.Repeat(numbered("deadl", 0, 1), 5), gap: 200 * time.Millisecond})
 		}
 		return list
 	}
-	shapes := func(n int) func(int) string { // of so many shapes, each seldom
+	shapes := func(n int) func(int) string { // of n shapes, each of them rare
 		return func(i int) string { return fmt.Sprintf("harmless %0*d", 9+i%n, i) }
 	}
-	for _, v := range []alikeRow{
+	for _, v := range []scenario{
 		{"14 in series", 3, series(14, 0), other, false, 14},
 		{"100 in series", 3, series(100, 0), other, false, 20},
 		{"100 in series, more slowly", 3, series(100, 2*time.Second), other, false, 20},
 		{"100 in series, more slowly, at 70 nodes", 70, series(100, 2*time.Second), other, false, 20},
-		{"one body, 12 at once, five times each", 3, atOnce, other, false, 12},
+		{"one body, 12 at once, 5 times each", 3, atOnce, other, false, 12},
 		{"a counter that gains a digit", 3, inSeries(varied(14, func(_ *rand.Rand, i int) string { return fmt.Sprintf("d%s%d", text, i) })), otherQuestions, false, 14},
 		{"a time", 3, inSeries(varied(14, func(_ *rand.Rand, i int) string {
 			return fmt.Sprintf("d%sIt is %s.", text, time.Unix(1_790_000_000, 0).UTC().Add(time.Duration(i)*7777777*time.Millisecond).Format(time.RFC3339Nano))
 		})), otherQuestions, false, 14},
-		{"an id at the start", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d " + drawnID(r) + text })), otherQuestions, false, 14},
-		{"an id in the middle", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d" + text + drawnID(r) + text })), otherQuestions, false, 14},
-		{"an id at the end", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d" + text + drawnID(r) })), otherQuestions, false, 14},
-		{"14 in series, harmless ones alike", 3, series(14, 0), same, false, 14},
-		{"14 in series, amid waves", 12, series(14, 0), shapes(40), true, 14},
-		{"waves alone, one shape", 3, nobody, shapes(1), true, 0},
-		{"waves alone, 40 shapes", 12, nobody, shapes(40), true, 0},
-		{"waves alone, 400 shapes", 12, nobody, shapes(400), true, 0},
+		{"an id at the start", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d " + randomID(r) + text })), otherQuestions, false, 14},
+		{"an id in the middle", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d" + text + randomID(r) + text })), otherQuestions, false, 14},
+		{"an id at the end", 3, inSeries(varied(14, func(r *rand.Rand, _ int) string { return "d" + text + randomID(r) })), otherQuestions, false, 14},
+		{"14 in series, harmless ones similar", 3, series(14, 0), same, false, 14},
+		{"14 in series, with waves", 12, series(14, 0), shapes(40), true, 14},
+		{"only waves, one shape", 3, noCallers, shapes(1), true, 0},
+		{"only waves, 40 shapes", 12, noCallers, shapes(40), true, 0},
+		{"only waves, 400 shapes", 12, noCallers, shapes(400), true, 0},
 	} {
-		v.play(t)
+		v.run(t)
 	}
 }
 
-// alikeRow is one play.
-type alikeRow struct {
-	name    string
-	nodes   int
-	callers func() []*caller
-	rest    func(int) string
-	waves   bool
-	most    int // upstreams ended
+// scenario is one row of the tests.
+type scenario struct {
+	name       string
+	nodes      int
+	callers    func() []*caller
+	harmless   func(int) string
+	waves      bool
+	maxCrashed int // upstreams
 }
 
-func (v *alikeRow) play(t *testing.T) {
+func (v *scenario) run(t *testing.T) {
 	if v.nodes > 12 && raceEnabled {
 		return
 	}
@@ -191,38 +193,39 @@
 		if v.nodes > 12 {
 			seeds = 4
 		}
-		worst, sum, refused, denied, ran := 0, 0, 0, 0, 0
+		worst, sum, rejected, denied, ran := 0, 0, 0, 0, 0
 		for seed := range seeds {
-			p := newPlay(seed, v.nodes, 24)
-			playAlike(p, v.callers(), v.rest, v.waves)
-			worst, sum = max(worst, p.sum()), sum+p.sum()
-			refused, denied, ran = refused+len(p.refused), denied+p.harmlessDenied(), ran+len(p.innocent)
+			p := newSimulation(seed, v.nodes, 24)
+			playCallers(p, v.callers(), v.harmless, v.waves)
+			worst, sum = max(worst, p.totalCrashes()), sum+p.totalCrashes()
+			rejected, denied, ran = rejected+len(p.rejected), denied+p.harmlessWithoutRetry(), ran+len(p.harmless)
 		}
-		t.Logf("upstreams ended: %d at most, %.1f on average; harmless requests refused: %d, not sent again: %d, of %d", worst, float64(sum)/float64(seeds), refused, denied, ran)
-		assert.LessOrEqual(t, worst, v.most)
-		assert.LessOrEqual(t, (refused+denied)*100, ran)
+		t.Logf("upstreams crashed: at most %d, %.1f on average; harmless requests rejected: %d, not retried: %d, of %d", worst, float64(sum)/float64(seeds), rejected, denied, ran)
+		assert.LessOrEqual(t, worst, v.maxCrashed)
+		assert.LessOrEqual(t, (rejected+denied)*100, ran)
 	})
 }
 
-// inSeries is one caller who sends bodies one after the other.
+// inSeries returns one caller that sends the bodies one after the other.
 func inSeries(bodies []string) func() []*caller {
 	return func() []*caller { return []*caller{{bodies: slices.Clone(bodies)}} }
 }
 
-// otherQuestions are harmless prompts of the same text.
+// otherQuestions returns harmless prompts with the same text.
 func otherQuestions(i int) string {
 	return fmt.Sprintf("h%sWhere is my parcel %d, and %s?", text, i, strings.Repeat("why so late ", 1+i%17))
 }
 
-// TestAlikeInWords: what differs by a name, or by a turn more of a chat, isn't known to be alike; nor are deadly requests held back
-// together where harmless ones, which are answered in between, differ from them by a number alone.
-func TestAlikeInWords(t *testing.T) {
+// TestSimilarRequestsInWords guards the limits of shapes: requests that differ by a name, or by one more
+// turn of a chat, are not recognized as similar; nor are deadly requests quarantined together if harmless
+// ones, which get responses in between, differ from them by a number alone.
+func TestSimilarRequestsInWords(t *testing.T) {
 	names := []string{"Anna", "Bo", "Christopher", "Dee", "Emilia", "Fatou", "Giovanna", "Hu", "Ingeborg", "Jan", "Katharina", "Li", "Maximilian", "Noor"}
-	for _, v := range []alikeRow{
+	for _, v := range []scenario{
 		{"a name", 3, inSeries(varied(14, func(_ *rand.Rand, i int) string { return "d" + text + "Write to " + names[i] + "." })), otherQuestions, false, 14},
 		{"a chat that grows by a turn", 3, inSeries(varied(14, func(_ *rand.Rand, i int) string { return "d" + text + strings.Repeat("And then? ", i) })), otherQuestions, false, 14},
 		{"harmless ones that differ by a number", 3, inSeries(varied(14, func(_ *rand.Rand, i int) string { return fmt.Sprintf("%d%s", 666000+i, text) })), func(i int) string { return fmt.Sprintf("%d%s", 100000+i, text) }, false, 14},
 	} {
-		v.play(t)
+		v.run(t)
 	}
 }
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -9,88 +9,88 @@
 )
 
 const (
-	// CrashThreshold is how many upstreams have to have ended under a request. Two aren't enough: a
-	// request whose upstream ended by chance is sent again at once, in a wave to one that is
-	// about to end.
+	// CrashThreshold is how many upstreams must have crashed under a request to quarantine it. Two are
+	// not enough: a request whose upstream stopped by chance is retried at once, and in a wave of
+	// reclaims the retry meets an upstream that is about to stop, too.
 	CrashThreshold = 3
-	// holdFirst is how long a request is held back for the first time, and holdLongest at
-	// most; each end after that doubles it. With spread it stays under a minute for one that
-	// is held back wrongly.
-	holdFirst   = 45 * time.Second
-	holdLongest = time.Hour
-	// spread is the span over which the nodes let a request through again, each at its own
-	// moment, so that the others know of the first one before it is their turn.
-	spread = 15 * time.Second
-	// trialTakes is how long all wait for the end of one such request before another one is
-	// let through: longer than a request waits at an upstream before it runs.
-	trialTakes = 5 * time.Second
-	// sameWithin is how far apart words of one end may be: they bear an age, and grow younger
-	// by what a message takes. An upstream needs some seconds to come back.
-	sameWithin = 2 * time.Second
-	// suspectKeeps is how long ends are remembered that prove nothing yet, heldKeeps how long
-	// after its time a request is remembered that was held back.
-	suspectKeeps = 30 * time.Minute
-	heldKeeps    = time.Hour
-	// clearedKeeps is how long an answer is remembered: words of ends before it come no later.
-	clearedKeeps = time.Minute
-	// suspectsLimit bounds the requests remembered (some 300 bytes each), endsLimit the ends
-	// of one. suspectsRoom is made at once when there are too many.
-	suspectsLimit = 2048
-	suspectsRoom  = suspectsLimit / 8
-	endsLimit     = 32
+	// initialQuarantine is how long a request is quarantined the first time. Each further crash doubles
+	// it, up to maxQuarantine. Together with probeSpread the first quarantine of a harmless request stays
+	// within a minute.
+	initialQuarantine = 45 * time.Second
+	maxQuarantine     = time.Hour
+	// probeSpread is the span over which the nodes admit a request again, each at its own moment, so that
+	// the others know of the first probe before their own turn.
+	probeSpread = 15 * time.Second
+	// probeTimeout is how long all nodes wait for the outcome of a probe before another one is admitted.
+	// It is longer than a request waits at an upstream before it runs.
+	probeTimeout = 5 * time.Second
+	// sameCrashWindow is how far apart two reports of one crash may be. Reports carry an age, which omits
+	// the time that the message takes. An upstream needs some seconds to restart.
+	sameCrashWindow = 2 * time.Second
+	// suspectTTL is how long crashes below the threshold are remembered, quarantinedTTL how long a
+	// request is remembered after its quarantine.
+	suspectTTL     = 30 * time.Minute
+	quarantinedTTL = time.Hour
+	// clearedTTL is how long a response is remembered. Reports of crashes before it do not arrive later
+	// than that.
+	clearedTTL = time.Minute
+	// maxSuspects bounds the requests remembered (some 300 bytes each), maxCrashes the crashes of one
+	// request. When there are too many requests, evictionBatch of them are evicted at once.
+	maxSuspects   = 2048
+	evictionBatch = maxSuspects / 8
+	maxCrashes    = 32
 )
 
-// Crash is the end of an upstream, as one request saw it.
+// Crash is the crash of an upstream, as observed by one request.
 type Crash struct {
-	Fingerprint    Fingerprint
-	Upstream string
-	At       time.Time // when the request's connection broke
+	Fingerprint Fingerprint
+	Upstream    string
+	At          time.Time // when the request's connection broke
 }
 
-// same tells whether both are one end of one upstream. An upstream may come back under its
-// id, and end again.
+// same reports whether both are the same crash. An upstream may restart under its ID and crash again.
 func (e Crash) same(o Crash) bool {
-	return e.Upstream == o.Upstream && e.At.Sub(o.At).Abs() < sameWithin
+	return e.Upstream == o.Upstream && e.At.Sub(o.At).Abs() < sameCrashWindow
 }
 
-// suspect is a request under which upstreams ended.
+// suspect is a request under which upstreams crashed.
 type suspect struct {
-	ends    []Crash     // by time
-	changed time.Time // when the newest of this was learned
-	cleared time.Time // when it was last answered; ends from before don't count
-	until   time.Time // it is held back until then; zero: it isn't
-	tried   time.Time // when a repeat was last let through, here or at another node
+	crashes   []Crash   // sorted by time
+	updatedAt time.Time // when this last learned something new
+	clearedAt time.Time // when it last got a complete response; earlier crashes don't count
+	until     time.Time // end of the quarantine; zero: not quarantined
+	probedAt  time.Time // when this node or another one last admitted a probe
 }
 
-// Tracker is what one process knows of such requests.
+// Tracker holds what one process knows of requests that crash upstreams.
 type Tracker struct {
 	node string
-	size atomic.Int64 // suspects, readable without the lock
+	size atomic.Int64 // number of suspects, readable without the lock
 
-	mu       sync.Mutex
-	suspects map[Fingerprint]*suspect
-	families map[Shape]*family
-	alike    []Change // of what is held back by its shape, not returned yet
-	held     int64    // changes of what is held back
-	stale    bool     // ends changed that may hold a request back, since it was last derived
+	mu           sync.Mutex
+	suspects     map[Fingerprint]*suspect
+	shapes       map[Shape]*shapeState
+	shapeChanges []Change // of quarantined shapes, not yet returned
+	revision     int64    // rises with each change of the quarantined requests
+	stale        bool     // crashes that can quarantine a request have changed since the last evaluation
 }
 
-// NewTracker returns an empty book of a node.
+// NewTracker returns an empty tracker for a node.
 func NewTracker(node string) *Tracker {
-	return &Tracker{node: node, suspects: make(map[Fingerprint]*suspect), families: make(map[Shape]*family)}
+	return &Tracker{node: node, suspects: make(map[Fingerprint]*suspect), shapes: make(map[Shape]*shapeState)}
 }
 
-// Change is that a request is held back from now on, or isn't any more.
+// Change reports that a request is quarantined, or no longer is.
 type Change struct {
-	Fingerprint     Fingerprint
-	Quarantined      bool
-	Until     time.Time
-	Upstreams []string // that ended under it
-	ByShape     bool     // all requests of its shape, and not just it
+	Fingerprint Fingerprint
+	Quarantined bool
+	Until       time.Time
+	Upstreams   []string // that crashed under it
+	ByShape     bool     // concerns all requests of the shape
 }
 
-// HasCrashes tells whether ends were seen under a request of that shape. Most processes know of
-// none, which costs no lock.
+// HasCrashes reports whether crashes were observed under a request of the shape. Most processes know of
+// none; for these it takes no lock.
 func (b *Tracker) HasCrashes(r func() Shape) bool {
 	if b.size.Load() == 0 {
 		return false
@@ -98,149 +98,148 @@
 	s := r()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.families[s] != nil
+	return b.shapes[s] != nil
 }
 
-// CrashCount returns how many ends were seen under a request.
+// CrashCount returns how many crashes were observed under a request.
 func (b *Tracker) CrashCount(p Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.suspects[p]; s != nil {
-		return len(s.ends)
+		return len(s.crashes)
 	}
 	return 0
 }
 
-// ObserveCrash takes in an end that this process saw.
+// ObserveCrash records a crash that this process observed.
 func (b *Tracker) ObserveCrash(now time.Time, e Crash) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.add(now, e)
-	return b.settle()
+	b.addCrash(now, e)
+	return b.evaluate()
 }
 
-// add takes in an end, and tells whether it is news.
-func (b *Tracker) add(now time.Time, e Crash) bool {
+// addCrash records a crash and reports whether it is new.
+func (b *Tracker) addCrash(now time.Time, e Crash) bool {
 	s := b.suspects[e.Fingerprint]
 	if s == nil {
-		s = b.open(now, e.Fingerprint)
+		s = b.newSuspect(now, e.Fingerprint)
 	}
-	if e.At.Before(s.cleared.Add(sameWithin)) {
-		return false // it may be an end from before the answer, told late
+	if e.At.Before(s.clearedAt.Add(sameCrashWindow)) {
+		return false // may be a crash from before the response, reported late
 	}
-	if slices.ContainsFunc(s.ends, e.same) {
+	if slices.ContainsFunc(s.crashes, e.same) {
 		return false
 	}
-	s.ends = append(s.ends, e)
-	slices.SortFunc(s.ends, func(a, b Crash) int { return a.At.Compare(b.At) })
-	if len(s.ends) > endsLimit {
-		s.ends = slices.Delete(s.ends, 0, 1)
+	s.crashes = append(s.crashes, e)
+	slices.SortFunc(s.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
+	if len(s.crashes) > maxCrashes {
+		s.crashes = slices.Delete(s.crashes, 0, 1)
 	}
 	b.touch(now, s)
-	b.addAlike(e)
+	b.addToShape(e)
 	return true
 }
 
-// addAlike counts an end against all requests of its shape.
-func (b *Tracker) addAlike(e Crash) {
-	f := b.families[e.Fingerprint.Shape()]
+// addToShape counts a crash against all requests of its shape.
+func (b *Tracker) addToShape(e Crash) {
+	f := b.shapes[e.Fingerprint.Shape()]
 	if !f.add(e) {
 		return
 	}
 	c := Change{Fingerprint: e.Fingerprint, Quarantined: true, Until: f.until(), ByShape: true}
-	for _, v := range f.ends {
+	for _, v := range f.crashes {
 		c.Upstreams = append(c.Upstreams, v.Upstream)
 	}
-	b.alike = append(b.alike, c)
+	b.shapeChanges = append(b.shapeChanges, c)
 }
 
-// touch notes that something was learned of a request.
+// touch records that something was learned about a request.
 func (b *Tracker) touch(now time.Time, s *suspect) {
-	s.changed = now
-	b.stale = b.stale || len(s.ends) >= CrashThreshold || !s.until.IsZero()
+	s.updatedAt = now
+	b.stale = b.stale || len(s.crashes) >= CrashThreshold || !s.until.IsZero()
 }
 
-// open begins to remember a request, in the place of the one that says least if need be.
-func (b *Tracker) open(now time.Time, p Fingerprint) *suspect {
-	if len(b.suspects) >= suspectsLimit {
+// newSuspect starts tracking a request. If there are too many, it evicts those with the weakest evidence.
+func (b *Tracker) newSuspect(now time.Time, p Fingerprint) *suspect {
+	if len(b.suspects) >= maxSuspects {
 		b.evict(now)
 	}
 	s := &suspect{}
 	b.suspects[p] = s
-	f := b.families[p.Shape()]
+	f := b.shapes[p.Shape()]
 	if f == nil {
-		f = &family{}
-		b.families[p.Shape()] = f
+		f = &shapeState{}
+		b.shapes[p.Shape()] = f
 	}
 	f.suspects++
 	b.size.Store(int64(len(b.suspects)))
 	return s
 }
 
-// evict makes room: it forgets what has lapsed and, if that is too little, the requests that
-// have the fewest ends, of these the ones that were heard of the longest ago.
+// evict makes room: it removes what has expired and, if that is not enough, the requests with the fewest
+// crashes, among these the least recently updated ones.
 func (b *Tracker) evict(now time.Time) {
 	list := make([]Fingerprint, 0, len(b.suspects))
 	for p, s := range b.suspects {
-		if s.lapsed(now) {
-			b.drop(p)
+		if s.expired(now) {
+			b.remove(p)
 			continue
 		}
 		list = append(list, p)
 	}
 	slices.SortFunc(list, func(x, y Fingerprint) int {
 		v, w := b.suspects[x], b.suspects[y]
-		return cmp.Or(cmp.Compare(len(v.ends), len(w.ends)), v.changed.Compare(w.changed))
+		return cmp.Or(cmp.Compare(len(v.crashes), len(w.crashes)), v.updatedAt.Compare(w.updatedAt))
 	})
-	for _, p := range list[:max(0, len(list)-suspectsLimit+suspectsRoom)] {
-		b.drop(p)
+	for _, p := range list[:max(0, len(list)-maxSuspects+evictionBatch)] {
+		b.remove(p)
 	}
 }
 
-func (s *suspect) lapsed(now time.Time) bool {
+func (s *suspect) expired(now time.Time) bool {
 	switch {
-	case len(s.ends) == 0:
-		return now.Sub(s.cleared) > clearedKeeps
+	case len(s.crashes) == 0:
+		return now.Sub(s.clearedAt) > clearedTTL
 	case !s.until.IsZero():
-		return now.Sub(s.until) > heldKeeps
+		return now.Sub(s.until) > quarantinedTTL
 	}
-	return now.Sub(s.changed) > suspectKeeps
+	return now.Sub(s.updatedAt) > suspectTTL
 }
 
-func (b *Tracker) drop(p Fingerprint) {
+func (b *Tracker) remove(p Fingerprint) {
 	delete(b.suspects, p)
-	f := b.families[p.Shape()]
+	f := b.shapes[p.Shape()]
 	if f.suspects--; f.suspects == 0 {
-		delete(b.families, p.Shape())
+		delete(b.shapes, p.Shape())
 	}
 	b.size.Store(int64(len(b.suspects)))
 }
 
-// ObserveResponse takes in that a request was answered whole: whatever ended before, it wasn't its
-// doing.
+// ObserveResponse records that a request got a complete response, so it did not cause the crashes before.
 func (b *Tracker) ObserveResponse(now time.Time, p Fingerprint) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.clear(now, p, now)
-	b.clearAlike(Response{p, now})
-	return b.settle()
+	b.clearShape(Response{p, now})
+	return b.evaluate()
 }
 
-// clearAlike takes in that a request was answered: others of its shape aren't held back for what ended
-// before.
-func (b *Tracker) clearAlike(a Response) {
-	if f := b.families[a.Fingerprint.Shape()]; f != nil && f.answer(a) {
-		b.alike = append(b.alike, Change{Fingerprint: a.Fingerprint, ByShape: true})
+// clearShape records a response to a request of a shape: earlier crashes no longer count against the
+// shape.
+func (b *Tracker) clearShape(a Response) {
+	if f := b.shapes[a.Fingerprint.Shape()]; f != nil && f.observeResponse(a) {
+		b.shapeChanges = append(b.shapeChanges, Change{Fingerprint: a.Fingerprint, ByShape: true})
 	}
 }
 
 func (b *Tracker) clear(now time.Time, p Fingerprint, at time.Time) bool {
 	s := b.suspects[p]
-	if s == nil || at.Sub(s.cleared) < sameWithin {
+	if s == nil || at.Sub(s.clearedAt) < sameCrashWindow {
 		return false
 	}
-	s.cleared = at
+	s.clearedAt = at
 	b.touch(now, s)
-	s.ends = slices.DeleteFunc(s.ends, func(e Crash) bool { return e.At.Before(at.Add(sameWithin)) })
+	s.crashes = slices.DeleteFunc(s.crashes, func(e Crash) bool { return e.At.Before(at.Add(sameCrashWindow)) })
 	return true
 }
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -14,191 +14,191 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func printOf(body string) Fingerprint { return FingerprintOf(Request{Body: []byte(body)}) }
+func fingerprintOf(body string) Fingerprint { return FingerprintOf(Request{Body: []byte(body)}) }
 
-// world is a book with a clock.
-type world struct {
+// harness is a tracker with a clock.
+type harness struct {
 	b   *Tracker
 	now time.Duration
 }
 
-func newWorld() *world { return &world{b: NewTracker("n")} }
+func newHarness() *harness { return &harness{b: NewTracker("n")} }
 
-// broke ends an upstream under requests that have begun to run there.
-func (w *world) broke(upstream string, bodies ...string) {
+// crash crashes an upstream under requests that have started to run there.
+func (w *harness) crash(upstream string, bodies ...string) {
 	for _, v := range bodies {
-		w.b.ObserveCrash(at(w.now), Crash{Fingerprint: printOf(v), Upstream: upstream, At: at(w.now)})
+		w.b.ObserveCrash(at(w.now), Crash{Fingerprint: fingerprintOf(v), Upstream: upstream, At: at(w.now)})
 	}
 }
 
-func (w *world) check(body string) Verdict { return w.b.Check(at(w.now), printOf(body)) }
+func (w *harness) check(body string) Verdict { return w.b.Check(at(w.now), fingerprintOf(body)) }
 
-func (w *world) assertHeld(t *testing.T, held bool, bodies ...string) {
+func (w *harness) assertQuarantined(t *testing.T, want bool, bodies ...string) {
 	t.Helper()
 	for _, v := range bodies {
-		assert.Equal(t, held, w.check(v).Quarantined, v)
+		assert.Equal(t, want, w.check(v).Quarantined, v)
 	}
 }
 
-func TestHeldByProof(t *testing.T) {
-	w := newWorld()
+func TestQuarantineAtThreshold(t *testing.T) {
+	w := newHarness()
 	for i := range CrashThreshold {
-		w.assertHeld(t, false, "x")
-		w.broke(fmt.Sprint("u", i), "x")
+		w.assertQuarantined(t, false, "x")
+		w.crash(fmt.Sprint("u", i), "x")
 		w.now += time.Second
 	}
-	w.assertHeld(t, true, "x")
-	w.assertHeld(t, false, "y")
+	w.assertQuarantined(t, true, "x")
+	w.assertQuarantined(t, false, "y")
 	assert.Equal(t, CrashThreshold, w.check("x").Upstreams)
-	assert.Greater(t, w.check("x").Wait, holdFirst-5*time.Second)
-	t.Run("no memory is used for those that weren't there", func(t *testing.T) {
+	assert.Greater(t, w.check("x").Wait, initialQuarantine-5*time.Second)
+	t.Run("other requests use no memory", func(t *testing.T) {
 		assert.True(t, w.b.HasCrashes(func() Shape { return ShapeOf(Request{Body: []byte("x")}) }))
 		assert.False(t, w.b.HasCrashes(func() Shape { return ShapeOf(Request{Body: []byte("other")}) }))
 	})
 }
 
-// TestOneEndCountsOnce: several copies of a request at one upstream, and several words of one
-// end, are one end; an upstream that came back under its id and ended again is another one.
-func TestOneEndCountsOnce(t *testing.T) {
-	w := newWorld()
+// TestCrashCountsOnce: several copies of a request at one upstream, and several reports of one crash,
+// count as one crash; an upstream that restarted under its ID and crashed again counts again.
+func TestCrashCountsOnce(t *testing.T) {
+	w := newHarness()
 	for range 5 {
-		w.broke("u", "x")
+		w.crash("u", "x")
 		w.now += 100 * time.Millisecond
 	}
-	w.assertHeld(t, false, "x")
+	w.assertQuarantined(t, false, "x")
 	for range CrashThreshold - 1 {
 		w.now += 4 * time.Second
-		w.broke("u", "x")
+		w.crash("u", "x")
 	}
-	w.assertHeld(t, true, "x")
+	w.assertQuarantined(t, true, "x")
 }
 
-// TestWhatIsNoEvidence is each reason for which an end doesn't count.
-func TestWhatIsNoEvidence(t *testing.T) {
-	ends := func(w *world, n int, bodies ...string) {
+// TestCrashesThatDoNotCount covers each reason for which a crash does not count.
+func TestCrashesThatDoNotCount(t *testing.T) {
+	crashes := func(w *harness, n int, bodies ...string) {
 		for i := range n {
-			w.broke(fmt.Sprint("u", i), bodies...)
+			w.crash(fmt.Sprint("u", i), bodies...)
 			w.now += time.Second
 		}
 	}
-	t.Run("it was answered since", func(t *testing.T) {
-		w := newWorld()
-		ends(w, CrashThreshold-1, "x")
-		w.b.ObserveResponse(at(w.now), printOf("x"))
-		w.now += sameWithin
-		w.broke("u7", "x")
-		w.assertHeld(t, false, "x")
+	t.Run("a response since then", func(t *testing.T) {
+		w := newHarness()
+		crashes(w, CrashThreshold-1, "x")
+		w.b.ObserveResponse(at(w.now), fingerprintOf("x"))
+		w.now += sameCrashWindow
+		w.crash("u7", "x")
+		w.assertQuarantined(t, false, "x")
 	})
-	t.Run("two that end upstreams are both held back", func(t *testing.T) {
-		w := newWorld()
-		ends(w, CrashThreshold+2, "x")
+	t.Run("two requests that crash upstreams are both quarantined", func(t *testing.T) {
+		w := newHarness()
+		crashes(w, CrashThreshold+2, "x")
 		for i := range CrashThreshold {
-			w.broke(fmt.Sprint("v", i), "y")
+			w.crash(fmt.Sprint("v", i), "y")
 		}
-		w.assertHeld(t, true, "x", "y")
+		w.assertQuarantined(t, true, "x", "y")
 	})
 }
 
-// TestLetThroughAgain: after its time a request is let through once, and not a second time
-// before it is known how the first one ended. An answer clears it; an end holds it back for
-// twice as long.
-func TestLetThroughAgain(t *testing.T) {
-	held := func() *world {
-		w := newWorld()
+// TestProbes: after its quarantine a request is admitted once, and not a second time before the outcome
+// of the first probe is known. A response clears it; a crash quarantines it for twice as long.
+func TestProbes(t *testing.T) {
+	expired := func() *harness {
+		w := newHarness()
 		for i := range CrashThreshold {
-			w.broke(fmt.Sprint("u", i), "x")
+			w.crash(fmt.Sprint("u", i), "x")
 		}
-		w.now += holdFirst - time.Millisecond
-		w.assertHeld(t, true, "x")
-		w.now += spread + time.Millisecond
+		w.now += initialQuarantine - time.Millisecond
+		w.assertQuarantined(t, true, "x")
+		w.now += probeSpread + time.Millisecond
 		return w
 	}
 	t.Run("one at a time", func(t *testing.T) {
-		w := held()
+		w := expired()
 		assert.True(t, w.check("x").Probe)
-		w.assertHeld(t, true, "x")
+		w.assertQuarantined(t, true, "x")
 	})
-	t.Run("nor while another node's is under way", func(t *testing.T) {
-		w := held()
+	t.Run("not while a probe of another node runs", func(t *testing.T) {
+		w := expired()
 		other := NewTracker("other")
 		other.Merge(at(0), w.b.BuildUpdate(at(0)))
 		w.check("x")
 		other.Merge(at(w.now), w.b.BuildUpdate(at(w.now)))
-		v := other.Check(at(w.now), printOf("x"))
+		v := other.Check(at(w.now), fingerprintOf("x"))
 		assert.True(t, v.Quarantined)
-		assert.LessOrEqual(t, v.Wait, trialTakes)
-		assert.Empty(t, w.b.Merge(at(w.now), other.BuildUpdate(at(w.now))), "it isn't news to who told it")
-		w.now += trialTakes
-		assert.True(t, other.Check(at(w.now), printOf("x")).Probe)
+		assert.LessOrEqual(t, v.Wait, probeTimeout)
+		assert.Empty(t, w.b.Merge(at(w.now), other.BuildUpdate(at(w.now))), "no change for the tracker that sent it")
+		w.now += probeTimeout
+		assert.True(t, other.Check(at(w.now), fingerprintOf("x")).Probe)
 	})
-	t.Run("answered", func(t *testing.T) {
-		w := held()
+	t.Run("a response", func(t *testing.T) {
+		w := expired()
 		w.check("x")
-		c := w.b.ObserveResponse(at(w.now), printOf("x"))
+		c := w.b.ObserveResponse(at(w.now), fingerprintOf("x"))
 		assert.Len(t, c, 1)
 		assert.False(t, c[0].Quarantined)
-		w.assertHeld(t, false, "x")
+		w.assertQuarantined(t, false, "x")
 	})
-	t.Run("another end", func(t *testing.T) {
-		w := held()
+	t.Run("another crash", func(t *testing.T) {
+		w := expired()
 		w.check("x")
-		w.broke("u8", "x")
+		w.crash("u8", "x")
 		v := w.check("x")
 		assert.True(t, v.Quarantined)
-		assert.GreaterOrEqual(t, v.Wait, 2*holdFirst)
+		assert.GreaterOrEqual(t, v.Wait, 2*initialQuarantine)
 	})
-	t.Run("never longer than the longest", func(t *testing.T) {
-		w := held()
+	t.Run("at most maxQuarantine", func(t *testing.T) {
+		w := expired()
 		for i := range 20 {
-			w.broke(fmt.Sprint("w", i), "x")
+			w.crash(fmt.Sprint("w", i), "x")
 			w.now += w.check("x").Wait
 		}
-		w.broke("last", "x")
-		assert.LessOrEqual(t, w.check("x").Wait, holdLongest+spread)
+		w.crash("last", "x")
+		assert.LessOrEqual(t, w.check("x").Wait, maxQuarantine+probeSpread)
 	})
-	t.Run("nodes at moments of their own", func(t *testing.T) {
-		w, turns := held(), map[time.Duration]bool{}
-		said := w.b.BuildUpdate(at(0))
+	t.Run("each node at its own moment", func(t *testing.T) {
+		w, delays := expired(), map[time.Duration]bool{}
+		update := w.b.BuildUpdate(at(0))
 		for i := range 8 {
 			b := NewTracker(fmt.Sprint("n", i))
-			b.Merge(at(0), said)
-			turns[b.Check(at(0), printOf("x")).Wait] = true
+			b.Merge(at(0), update)
+			delays[b.Check(at(0), fingerprintOf("x")).Wait] = true
 		}
-		assert.Len(t, turns, 8)
+		assert.Len(t, delays, 8)
 	})
 }
 
-// grid is how far apart drawn ends are. No span for which a request is held back is a multiple
-// of it, give or take what messages take: at just that moment books may differ.
+// grid is the distance between generated crashes. No quarantine is a multiple of it to within the delay
+// of messages: at the very moment at which one ends, trackers may differ.
 const grid = 5700 * time.Millisecond
 
-// TestBooksAgree draws ends and answers, tells them to books in any order and more than once,
-// each word younger by what its message took, and finds the same held back by all.
-func TestBooksAgree(t *testing.T) {
+// TestTrackersConverge generates crashes and responses, merges them into trackers in any order and more
+// than once, each report too young by the delay of its message, and checks that all trackers quarantine
+// the same requests.
+func TestTrackersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type word struct {
+		type report struct {
 			w  Update
 			at time.Duration
 		}
-		var words []word
-		for range rapid.IntRange(1, 40).Draw(t, "words") {
-			v := word{at: time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * grid}
-			p := printOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
+		var reports []report
+		for range rapid.IntRange(1, 40).Draw(t, "reports") {
+			v := report{at: time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * grid}
+			p := fingerprintOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
 				v.w.Responses = []Response{{p, at(v.at)}}
 			} else {
 				u := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "upstream")
 				v.w.Crashes = []Crash{{Fingerprint: p, Upstream: u, At: at(v.at)}}
 			}
-			words = append(words, v)
+			reports = append(reports, v)
 		}
 		now := at(121 * time.Second)
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "order")))
-		tell := func() *Tracker {
+		merged := func() *Tracker {
 			b := NewTracker("n")
 			for range 2 {
-				r.Shuffle(len(words), func(i, j int) { words[i], words[j] = words[j], words[i] })
-				for _, v := range words {
+				r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+				for _, v := range reports {
 					late := time.Duration(r.Intn(300)) * time.Millisecond
 					w := Update{Crashes: append([]Crash(nil), v.w.Crashes...), Responses: append([]Response(nil), v.w.Responses...)}
 					for i := range w.Crashes {
@@ -212,56 +212,56 @@
 			}
 			return b
 		}
-		a, b := tell(), tell()
+		a, b := merged(), merged()
 		for _, x := range []string{"x", "y", "z"} {
-			assert.Equal(t, a.Remaining(now, printOf(x)) > 0, b.Remaining(now, printOf(x)) > 0, x)
+			assert.Equal(t, a.Remaining(now, fingerprintOf(x)) > 0, b.Remaining(now, fingerprintOf(x)) > 0, x)
 		}
 	})
 }
 
-// TestBookIsBounded: a million different requests under which upstreams ended, and one that is
-// held back, which isn't forgotten for them.
-func TestBookIsBounded(t *testing.T) {
-	w := newWorld()
+// TestTrackerIsBounded observes crashes under very many different requests, beside one that is
+// quarantined and must not be evicted for them.
+func TestTrackerIsBounded(t *testing.T) {
+	w := newHarness()
 	for i := range CrashThreshold {
-		w.broke(fmt.Sprint("u", i), "x")
+		w.crash(fmt.Sprint("u", i), "x")
 	}
 	for i := range 20_000 {
-		w.broke(fmt.Sprint("u", i), fmt.Sprint("body ", i))
+		w.crash(fmt.Sprint("u", i), fmt.Sprint("body ", i))
 		w.now += time.Millisecond / 4
 	}
-	assert.LessOrEqual(t, len(w.b.suspects), suspectsLimit)
-	w.assertHeld(t, true, "x")
-	t.Run("a message is bounded, and what holds back goes first", func(t *testing.T) {
+	assert.LessOrEqual(t, len(w.b.suspects), maxSuspects)
+	w.assertQuarantined(t, true, "x")
+	t.Run("a message is bounded, quarantined requests come first", func(t *testing.T) {
 		v := w.b.BuildUpdate(at(w.now))
-		assert.LessOrEqual(t, len(v.Crashes), endsTold)
-		assert.Equal(t, printOf("x"), v.Crashes[0].Fingerprint)
+		assert.LessOrEqual(t, len(v.Crashes), maxUpdateCrashes)
+		assert.Equal(t, fingerprintOf("x"), v.Crashes[0].Fingerprint)
 	})
-	t.Run("what proves nothing lapses", func(t *testing.T) {
-		w.b.BuildUpdate(at(w.now + suspectKeeps + time.Second))
+	t.Run("crashes below the threshold expire", func(t *testing.T) {
+		w.b.BuildUpdate(at(w.now + suspectTTL + time.Second))
 		assert.Len(t, w.b.suspects, 1)
-		w.b.BuildUpdate(at(w.now + holdFirst + heldKeeps + time.Minute))
+		w.b.BuildUpdate(at(w.now + initialQuarantine + quarantinedTTL + time.Minute))
 		assert.Empty(t, w.b.suspects)
-		assert.Empty(t, w.b.families)
+		assert.Empty(t, w.b.shapes)
 	})
 }
 
-// TestWordsReachThoseThatBeginLater: news is told for a while, and what holds a request back
-// always.
-func TestWordsReachThoseThatBeginLater(t *testing.T) {
-	w := newWorld()
+// TestUpdateReachesLaterNodes: a change is announced for a while, and the crashes that quarantine a
+// request always.
+func TestUpdateReachesLaterNodes(t *testing.T) {
+	w := newHarness()
 	for i := range CrashThreshold {
-		w.broke(fmt.Sprint("u", i), "x")
+		w.crash(fmt.Sprint("u", i), "x")
 	}
-	w.broke("u", "y")
+	w.crash("u", "y")
 	assert.Len(t, w.b.BuildUpdate(at(w.now)).Crashes, CrashThreshold+1)
-	w.now += tellsFor + time.Second
+	w.now += announceFor + time.Second
 	v := w.b.BuildUpdate(at(w.now))
 	assert.Len(t, v.Crashes, CrashThreshold)
-	late := newWorld()
+	late := newHarness()
 	late.now = w.now
 	c := late.b.Merge(at(w.now), v)
 	assert.Len(t, c, 1)
-	late.assertHeld(t, true, "x")
-	t.Run("what is known is no news", func(t *testing.T) { assert.Empty(t, late.b.Merge(at(w.now), v)) })
+	late.assertQuarantined(t, true, "x")
+	t.Run("a known update changes nothing", func(t *testing.T) { assert.Empty(t, late.b.Merge(at(w.now), v)) })
 }
--- a/internal/quarantine/family.go
+++ b/internal/quarantine/family.go
@@ -7,122 +7,127 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file is about requests that end upstreams and aren't quite the same: a counter or a time in the
-// body makes each one new to the book. What they have in common is their shape: method, host, path,
-// workspace, and the form of the body (form.go).
+// This file tracks similar requests that crash upstreams: a counter or a time in the body gives each of
+// them a fingerprint of its own. What they share is their shape: method, host, path, workspace and the
+// normalized body (normalize.go).
 //
-// Most requests of a shape are harmless, so its evidence is weaker than a print's, and two things are
-// asked of it that a print's isn't. An answer to any of them clears the shape: where harmless requests are
-// among them, these go on as if nothing had been seen. And ends that come together count as one: when many
-// upstreams end at once, all that ran there see an end, and none has had the time to be answered.
+// Most requests of a shape are harmless, so crashes are weaker evidence against a shape than against a
+// fingerprint, and a shape is quarantined more cautiously in two ways. A response to any request of the
+// shape clears it: where harmless requests share the shape, they continue as if no crash had been seen.
+// And crashes in a burst count as one: when many upstreams stop at the same time, every request that ran
+// on them observes a crash before any of them could get a response.
 //
-// Weighed: the workspace and path alone (a harmless request of another length is answered in between and
-// clears them); parts of the body that are equal (a hash of each for each request, where the shape is there
-// already); no second try for what is alike (hardly fewer upstreams end, and more harmless requests lose theirs in
-// waves).
+// Alternatives considered: workspace and path alone (a harmless request of another length gets a response
+// in between and clears them); equal parts of the body (a hash of each part for every request whose shape
+// is tracked); no retry for similar requests (hardly fewer upstreams crash, and more harmless requests
+// lose their retry during waves of reclaims).
 
 const (
-	// familyProof is how many ends without an answer in between hold a shape back, of familyPrints
-	// different requests at least: the ends of one request are counted by its print.
-	familyProof  = 4
-	familyPrints = 3
-	// endsTogether is the span in which ends count as one: a wave that ends many upstreams at once
-	// is no evidence against the harmless requests that ran there (TestAlike).
-	endsTogether = 500 * time.Millisecond
-	// familyHold is how long a shape is held back at first; each end after that doubles it, up to
-	// familyLongest.
-	familyHold    = 2 * time.Second
-	familyLongest = time.Minute
-	// familySpread is the span over which the nodes let one request through, each at its own moment.
-	familySpread = 2 * time.Second
-	// familyEnds bounds the ends remembered of a shape, the oldest are dropped.
-	familyEnds = 32
+	// shapeCrashThreshold is how many crashes without a response in between quarantine a shape. They must
+	// come from at least shapeMinRequests different requests, since the crashes of a single request are
+	// counted by its fingerprint.
+	shapeCrashThreshold = 4
+	shapeMinRequests    = 3
+	// burstWindow is the span within which crashes count as one: a wave that stops many upstreams at once
+	// is no evidence against the harmless requests that ran there (TestSimilarRequests).
+	burstWindow = 500 * time.Millisecond
+	// initialShapeQuarantine is how long a shape is quarantined at first. Each further crash doubles it,
+	// up to maxShapeQuarantine.
+	initialShapeQuarantine = 2 * time.Second
+	maxShapeQuarantine     = time.Minute
+	// shapeProbeSpread is the span over which the nodes admit a probe, each at its own moment.
+	shapeProbeSpread = 2 * time.Second
+	// maxShapeCrashes bounds the crashes remembered per shape. The oldest are dropped.
+	maxShapeCrashes = 32
 )
 
-// family is the requests of one shape under which upstreams ended.
-type family struct {
-	suspects int   // of them: in the book
-	ends     []Crash // since one of them was answered, by time
-	answered Response
-	cleared  Response // the newest that cleared ends: others are told of it
-	tried    Probe  // the newest one that was let through, here or at another node
+// shapeState holds the crashes, responses and probes of the requests of one shape.
+type shapeState struct {
+	suspects     int     // of this shape, in Tracker.suspects
+	crashes      []Crash // since the last response to one of them, by time
+	lastResponse Response
+	clearedBy    Response // the latest response that cleared crashes; announced to other nodes
+	lastProbe    Probe    // the latest probe that this node or another one admitted
 }
 
-// add takes in an end, and tells whether the family is held back by it for the first time or for longer.
-func (f *family) add(e Crash) bool {
-	if !e.At.After(f.answered.At) || slices.ContainsFunc(f.ends, func(o Crash) bool { return o.Fingerprint == e.Fingerprint && o.same(e) }) {
+// add records a crash and reports whether it starts or extends the quarantine of the shape.
+func (f *shapeState) add(e Crash) bool {
+	if !e.At.After(f.lastResponse.At) || slices.ContainsFunc(f.crashes, func(o Crash) bool { return o.Fingerprint == e.Fingerprint && o.same(e) }) {
 		return false
 	}
 	before := f.until()
-	f.ends = append(f.ends, e)
-	slices.SortFunc(f.ends, func(a, b Crash) int { return a.At.Compare(b.At) })
-	if len(f.ends) > familyEnds {
-		f.ends = slices.Delete(f.ends, 0, 1)
+	f.crashes = append(f.crashes, e)
+	slices.SortFunc(f.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
+	if len(f.crashes) > maxShapeCrashes {
+		f.crashes = slices.Delete(f.crashes, 0, 1)
 	}
 	return f.until().After(before)
 }
 
-// answer takes in that one of them was answered, and tells whether the family was held back.
-func (f *family) answer(a Response) bool {
-	if !a.At.After(f.answered.At) {
+// observeResponse records a response to a request of the shape and reports whether it ends the
+// quarantine.
+func (f *shapeState) observeResponse(a Response) bool {
+	if !a.At.After(f.lastResponse.At) {
 		return false
 	}
-	held := !f.until().IsZero()
-	f.answered = a
-	ends := len(f.ends)
-	f.ends = slices.DeleteFunc(f.ends, func(e Crash) bool { return !e.At.After(a.At) })
-	if len(f.ends) < ends {
-		f.cleared = a
+	quarantined := !f.until().IsZero()
+	f.lastResponse = a
+	count := len(f.crashes)
+	f.crashes = slices.DeleteFunc(f.crashes, func(e Crash) bool { return !e.At.After(a.At) })
+	if len(f.crashes) < count {
+		f.clearedBy = a
 	}
-	return held && f.until().IsZero()
+	return quarantined && f.until().IsZero()
 }
 
-// apart counts ends, by time, that didn't come together.
-func apart(ends []Crash) int {
+// countBursts counts crashes, which are sorted by time, with those within burstWindow of the first of a
+// burst as one.
+func countBursts(crashes []Crash) int {
 	n := 0
 	var last time.Time
-	for _, e := range ends {
-		if n == 0 || e.At.Sub(last) >= endsTogether {
+	for _, e := range crashes {
+		if n == 0 || e.At.Sub(last) >= burstWindow {
 			n, last = n+1, e.At
 		}
 	}
 	return n
 }
 
-// until is until when the family is held back; zero: it isn't.
-func (f *family) until() time.Time {
-	n := apart(f.ends)
-	if n < familyProof {
+// until returns the end of the shape's quarantine; zero: it is not quarantined.
+func (f *shapeState) until() time.Time {
+	n := countBursts(f.crashes)
+	if n < shapeCrashThreshold {
 		return time.Time{}
 	}
-	prints := make(map[Fingerprint]bool, len(f.ends))
-	for _, e := range f.ends {
-		prints[e.Fingerprint] = true
+	distinct := make(map[Fingerprint]bool, len(f.crashes))
+	for _, e := range f.crashes {
+		distinct[e.Fingerprint] = true
 	}
-	if len(prints) < familyPrints {
+	if len(distinct) < shapeMinRequests {
 		return time.Time{}
 	}
-	hold := min(familyHold<<min(n-familyProof, 8), familyLongest)
-	return f.ends[len(f.ends)-1].At.Add(hold)
+	hold := min(initialShapeQuarantine<<min(n-shapeCrashThreshold, 8), maxShapeQuarantine)
+	return f.crashes[len(f.crashes)-1].At.Add(hold)
 }
 
-// check tells whether one of them may be sent now. One at a time may, once the time is over: while it runs,
-// trialTakes at most, the others wait for its answer, or for the end that makes the time longer.
-func (f *family) check(now time.Time, node string, p Fingerprint) Verdict {
+// check decides whether a request of the shape may be sent now. Once the quarantine has expired, one
+// probe at a time is admitted. While it runs, for at most probeTimeout, the other requests wait for its
+// response or for the crash that extends the quarantine.
+func (f *shapeState) check(now time.Time, node string, p Fingerprint) Verdict {
 	until := f.until()
 	if until.IsZero() {
 		return Verdict{}
 	}
-	v := Verdict{ByShape: true, Upstreams: len(f.ends)}
-	free := until.Add(time.Duration(xxhash.Sum64String(node) % uint64(familySpread)))
-	if t := f.tried.At.Add(trialTakes); t.After(free) && f.tried.At.After(f.ends[len(f.ends)-1].At) {
+	v := Verdict{ByShape: true, Upstreams: len(f.crashes)}
+	free := until.Add(time.Duration(xxhash.Sum64String(node) % uint64(shapeProbeSpread)))
+	if t := f.lastProbe.At.Add(probeTimeout); t.After(free) && f.lastProbe.At.After(f.crashes[len(f.crashes)-1].At) {
 		free = t
 	}
 	if now.Before(free) {
 		v.Quarantined, v.Wait = true, free.Sub(now)
 		return v
 	}
-	f.tried = Probe{Fingerprint: p, At: now}
+	f.lastProbe = Probe{Fingerprint: p, At: now}
 	v.Probe = true
 	return v
 }
--- a/internal/quarantine/family_test.go
+++ b/internal/quarantine/family_test.go
@@ -8,119 +8,122 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// series ends an upstream under each of so many requests that are alike, a second apart.
-func (w *world) series(from, count int) {
+// series crashes an upstream under each of several similar requests, one second apart.
+func (w *harness) series(from, count int) {
 	for i := range count {
 		w.now += time.Second
-		w.broke(fmt.Sprint("u", from+i), fmt.Sprintf("deadly %03d", from+i))
+		w.crash(fmt.Sprint("u", from+i), fmt.Sprintf("deadly %03d", from+i))
 	}
 }
 
-func (w *world) answered(body string) []Change { return w.b.ObserveResponse(at(w.now), printOf(body)) }
+func (w *harness) answered(body string) []Change {
+	return w.b.ObserveResponse(at(w.now), fingerprintOf(body))
+}
 
-// TestFamily is what holds requests back that are alike, and what doesn't.
-func TestFamily(t *testing.T) {
-	t.Run("ends without an answer in between", func(t *testing.T) {
-		w := newWorld()
-		w.series(0, familyProof-1)
-		w.assertHeld(t, false, "deadly 999")
-		w.series(familyProof-1, 1)
-		w.assertHeld(t, true, "deadly 999")
+// TestShapeQuarantine covers what quarantines similar requests and what does not.
+func TestShapeQuarantine(t *testing.T) {
+	t.Run("crashes without a response in between", func(t *testing.T) {
+		w := newHarness()
+		w.series(0, shapeCrashThreshold-1)
+		w.assertQuarantined(t, false, "deadly 999")
+		w.series(shapeCrashThreshold-1, 1)
+		w.assertQuarantined(t, true, "deadly 999")
 		assert.True(t, w.check("deadly 999").ByShape)
-		w.assertHeld(t, false, "another length")
+		w.assertQuarantined(t, false, "another length")
 	})
-	t.Run("an answer in between", func(t *testing.T) {
-		w := newWorld()
-		w.series(0, familyProof-1)
+	t.Run("a response in between", func(t *testing.T) {
+		w := newHarness()
+		w.series(0, shapeCrashThreshold-1)
 		w.answered("deadly 500")
-		w.series(familyProof-1, familyProof-1)
-		w.assertHeld(t, false, "deadly 999")
+		w.series(shapeCrashThreshold-1, shapeCrashThreshold-1)
+		w.assertQuarantined(t, false, "deadly 999")
 	})
-	t.Run("ends from before an answer, told late", func(t *testing.T) {
-		w := newWorld()
-		w.series(0, familyProof-1)
+	t.Run("crashes from before a response, reported late", func(t *testing.T) {
+		w := newHarness()
+		w.series(0, shapeCrashThreshold-1)
 		late := w.now
 		w.now += time.Second
 		w.answered("deadly 500")
-		for i := range familyProof {
-			e := Crash{Fingerprint: printOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
+		for i := range shapeCrashThreshold {
+			e := Crash{Fingerprint: fingerprintOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
 			w.b.Merge(at(w.now), Update{Crashes: []Crash{e}})
 		}
-		w.assertHeld(t, false, "deadly 999")
+		w.assertQuarantined(t, false, "deadly 999")
 	})
-	t.Run("ends that come together", func(t *testing.T) {
-		w := newWorld()
+	t.Run("crashes in a burst", func(t *testing.T) {
+		w := newHarness()
 		for i := range 10 {
-			w.now += endsTogether / 11
-			w.broke(fmt.Sprint("u", i), fmt.Sprintf("deadly %03d", i))
+			w.now += burstWindow / 11
+			w.crash(fmt.Sprint("u", i), fmt.Sprintf("deadly %03d", i))
 		}
-		w.assertHeld(t, false, "deadly 999")
+		w.assertQuarantined(t, false, "deadly 999")
 	})
-	t.Run("ends of too few requests", func(t *testing.T) {
-		w := newWorld()
-		for i := range 2 * familyProof {
+	t.Run("crashes under too few requests", func(t *testing.T) {
+		w := newHarness()
+		for i := range 2 * shapeCrashThreshold {
 			w.now += time.Second
-			w.broke(fmt.Sprint("u", i), fmt.Sprintf("deadly %03d", i%(familyPrints-1)))
+			w.crash(fmt.Sprint("u", i), fmt.Sprintf("deadly %03d", i%(shapeMinRequests-1)))
 		}
-		w.assertHeld(t, false, "deadly 999")
+		w.assertQuarantined(t, false, "deadly 999")
 	})
-	t.Run("one is let through at a time, an end holds it back for longer, an answer frees them", func(t *testing.T) {
-		w := newWorld()
-		w.series(0, familyProof)
-		w.now += familyHold + familySpread
+	t.Run("one probe at a time, a crash extends the quarantine, a response ends it", func(t *testing.T) {
+		w := newHarness()
+		w.series(0, shapeCrashThreshold)
+		w.now += initialShapeQuarantine + shapeProbeSpread
 		assert.True(t, w.check("deadly 100").Probe)
-		w.assertHeld(t, true, "deadly 101")
-		w.broke("v", "deadly 100")
-		w.now += familyHold + familySpread
-		w.assertHeld(t, true, "deadly 101")
-		w.now += familyHold
+		w.assertQuarantined(t, true, "deadly 101")
+		w.crash("v", "deadly 100")
+		w.now += initialShapeQuarantine + shapeProbeSpread
+		w.assertQuarantined(t, true, "deadly 101")
+		w.now += initialShapeQuarantine
 		assert.True(t, w.check("deadly 101").Probe)
-		w.now += trialTakes - time.Millisecond
-		w.assertHeld(t, true, "deadly 102")
+		w.now += probeTimeout - time.Millisecond
+		w.assertQuarantined(t, true, "deadly 102")
 		assert.Len(t, w.answered("deadly 101"), 1)
-		w.assertHeld(t, false, "deadly 102", "deadly 103")
+		w.assertQuarantined(t, false, "deadly 102", "deadly 103")
 	})
-	t.Run("the longest time", func(t *testing.T) {
-		w := newWorld()
+	t.Run("the longest quarantine", func(t *testing.T) {
+		w := newHarness()
 		w.series(0, 30)
-		assert.LessOrEqual(t, w.check("deadly 999").Wait, familyLongest+familySpread)
-		w.now += familyLongest + familySpread
+		assert.LessOrEqual(t, w.check("deadly 999").Wait, maxShapeQuarantine+shapeProbeSpread)
+		w.now += maxShapeQuarantine + shapeProbeSpread
 		assert.True(t, w.check("deadly 999").Probe)
 	})
-	t.Run("nodes tell each other of ends, trials and answers", func(t *testing.T) {
-		w, o := newWorld(), newWorld()
-		w.series(0, familyProof)
-		tell := func() []Change { return o.b.Merge(at(w.now), w.b.BuildUpdate(at(w.now))) }
-		held := tell()
-		if assert.Len(t, held, 1) {
-			assert.True(t, held[0].Quarantined && held[0].ByShape)
-			assert.Len(t, held[0].Upstreams, familyProof)
+	t.Run("nodes exchange crashes, probes and responses", func(t *testing.T) {
+		w, o := newHarness(), newHarness()
+		w.series(0, shapeCrashThreshold)
+		exchange := func() []Change { return o.b.Merge(at(w.now), w.b.BuildUpdate(at(w.now))) }
+		quarantined := exchange()
+		if assert.Len(t, quarantined, 1) {
+			assert.True(t, quarantined[0].Quarantined && quarantined[0].ByShape)
+			assert.Len(t, quarantined[0].Upstreams, shapeCrashThreshold)
 		}
-		w.now += familyHold + familySpread
+		w.now += initialShapeQuarantine + shapeProbeSpread
 		o.now = w.now
 		assert.True(t, w.check("deadly 100").Probe)
-		tell()
-		o.assertHeld(t, true, "deadly 101")
+		exchange()
+		o.assertQuarantined(t, true, "deadly 101")
 		w.answered("deadly 100")
-		freed := tell()
-		if assert.Len(t, freed, 1) {
-			assert.False(t, freed[0].Quarantined)
+		released := exchange()
+		if assert.Len(t, released, 1) {
+			assert.False(t, released[0].Quarantined)
 		}
-		o.assertHeld(t, false, "deadly 101")
+		o.assertQuarantined(t, false, "deadly 101")
 	})
-	t.Run("what is remembered of one is bounded, and goes with its last request", func(t *testing.T) {
-		w := newWorld()
-		w.series(0, 2*familyEnds)
-		shape := printOf("deadly 000").Shape()
-		assert.Len(t, w.b.families[shape].ends, familyEnds)
-		w.b.BuildUpdate(at(w.now + suspectKeeps + time.Second))
-		assert.Empty(t, w.b.families)
+	t.Run("the crashes of a shape are bounded and removed with its last request", func(t *testing.T) {
+		w := newHarness()
+		w.series(0, 2*maxShapeCrashes)
+		shape := fingerprintOf("deadly 000").Shape()
+		assert.Len(t, w.b.shapes[shape].crashes, maxShapeCrashes)
+		w.b.BuildUpdate(at(w.now + suspectTTL + time.Second))
+		assert.Empty(t, w.b.shapes)
 	})
 }
 
-// TestRepeats: a second try isn't sent where a copy has ended an upstream that the request wasn't at.
-func TestRepeats(t *testing.T) {
-	w := newWorld()
+// TestMayRetry: a request is not retried if another copy of it has crashed an upstream that the request
+// was not sent to.
+func TestMayRetry(t *testing.T) {
+	w := newHarness()
 	at := func(ids ...string) func(string) bool {
 		return func(u string) bool {
 			for _, id := range ids {
@@ -131,11 +134,11 @@
 			return false
 		}
 	}
-	assert.True(t, w.b.MayRetry(printOf("x"), at()))
-	w.broke("u", "x", "beside")
-	assert.True(t, w.b.MayRetry(printOf("x"), at("u")), "its own end")
-	assert.False(t, w.b.MayRetry(printOf("x"), at("v")), "another copy's")
+	assert.True(t, w.b.MayRetry(fingerprintOf("x"), at()))
+	w.crash("u", "x", "beside")
+	assert.True(t, w.b.MayRetry(fingerprintOf("x"), at("u")), "its own crash")
+	assert.False(t, w.b.MayRetry(fingerprintOf("x"), at("v")), "a crash under another copy")
 	w.now += time.Second
 	w.answered("beside")
-	assert.True(t, w.b.MayRetry(printOf("beside"), at("v")), "it was answered since")
+	assert.True(t, w.b.MayRetry(fingerprintOf("beside"), at("v")), "a response since then")
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -11,47 +11,47 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// This file plays fleets whose callers repeat requests that end upstreams, beside others that
-// run there. Nodes tell each other through relays, a step each round; an upstream that ended is
-// back after some seconds; every sixth of a wave's seconds more than half of the upstreams end
-// for no request's sake.
+// This file simulates fleets whose callers repeat requests that crash upstreams, beside other requests
+// that run there. Nodes exchange updates through relays, one hop a round; a crashed upstream is back
+// after some seconds; every six seconds a wave stops more than half of the upstreams, whatever runs
+// there.
 
 const (
-	playRound  = 250 * time.Millisecond
-	playTick   = 50 * time.Millisecond
-	playRelay  = 24 // nodes to a relay
-	playReturn = 4 * time.Second
+	roundInterval = 250 * time.Millisecond
+	tick          = 50 * time.Millisecond
+	nodesPerRelay = 24
+	restartTime   = 4 * time.Second
 )
 
 // flight is a request at an upstream.
 type flight struct {
 	node, upstream int
 	body           string
-	sent, ends     time.Duration // when it is answered, or its upstream ends
-	sends          int           // of this attempt of its caller
-	tries          int           // of its caller
-	of             *caller       // who waits for its end, if somebody does
+	sent, endsAt   time.Duration // when it gets its response, or its upstream crashes
+	attempts       int           // sends within this attempt of its caller
+	callerAttempts int           // by its caller
+	caller         *caller       // that waits for the request to end; may be nil
 }
 
-type play struct {
-	r        *rand.Rand
-	now      time.Duration
-	nodes    []*Tracker
-	down     []time.Duration // until when an upstream is down
-	flights  []*flight
-	ended    map[string]int           // upstreams that a request ended
-	proved   map[string]time.Duration // when the third was
-	late     map[string]int           // sends later than four seconds after that
-	innocent map[string]bool          // sent, and harmless
-	refused  map[string]bool          // of these: held back
-	denied   map[string]bool          // second tries that weren't sent
-	counter  int
+type simulation struct {
+	r             *rand.Rand
+	now           time.Duration
+	nodes         []*Tracker
+	down          []time.Duration // end of each upstream's downtime
+	flights       []*flight
+	crashed       map[string]int           // upstreams that a request crashed
+	thresholdAt   map[string]time.Duration // when that number reached CrashThreshold
+	lateSends     map[string]int           // sends later than four seconds after that
+	harmless      map[string]bool          // harmless requests sent
+	rejected      map[string]bool          // of these: quarantined
+	deniedRetries map[string]bool          // requests whose retry was denied
+	counter       int
 }
 
-func newPlay(seed int64, nodes, upstreams int) *play {
-	p := &play{
-		r: rand.New(rand.NewSource(seed)), down: make([]time.Duration, upstreams), ended: make(map[string]int),
-		proved: make(map[string]time.Duration), late: make(map[string]int), innocent: make(map[string]bool), refused: make(map[string]bool), denied: make(map[string]bool),
+func newSimulation(seed int64, nodes, upstreams int) *simulation {
+	p := &simulation{
+		r: rand.New(rand.NewSource(seed)), down: make([]time.Duration, upstreams), crashed: make(map[string]int),
+		thresholdAt: make(map[string]time.Duration), lateSends: make(map[string]int), harmless: make(map[string]bool), rejected: make(map[string]bool), deniedRetries: make(map[string]bool),
 	}
 	for i := range nodes {
 		p.nodes = append(p.nodes, NewTracker(fmt.Sprint("n", i)))
@@ -61,16 +61,16 @@
 
 func isDeadly(body string) bool { return body[0] == 'd' || strings.HasPrefix(body, "666") }
 
-// send sends a request, or refuses it.
-func (p *play) send(f flight) {
+// send sends a request unless it is quarantined.
+func (p *simulation) send(f flight) {
 	b := p.nodes[f.node]
-	if b.Check(at(p.now), printOf(f.body)).Quarantined {
+	if b.Check(at(p.now), fingerprintOf(f.body)).Quarantined {
 		if !isDeadly(f.body) {
-			p.refused[f.body] = true
+			p.rejected[f.body] = true
 		}
 		return
 	}
-	for range 4 { // upstreams that refuse connections are passed over
+	for range 4 { // skip upstreams that refuse connections
 		f.upstream = p.r.Intn(len(p.down))
 		if p.down[f.upstream] <= p.now {
 			break
@@ -79,16 +79,16 @@
 	if p.down[f.upstream] > p.now {
 		return
 	}
-	if t, ok := p.proved[f.body]; ok && p.now > t+4*time.Second {
-		p.late[f.body]++
+	if t, ok := p.thresholdAt[f.body]; ok && p.now > t+4*time.Second {
+		p.lateSends[f.body]++
 	}
-	f.sent, f.ends, f.sends = p.now, p.now+time.Duration(100+p.r.Intn(1500))*time.Millisecond, f.sends+1
+	f.sent, f.endsAt, f.attempts = p.now, p.now+time.Duration(100+p.r.Intn(1500))*time.Millisecond, f.attempts+1
 	p.flights = append(p.flights, &f)
 }
 
-// end ends an upstream, with all that runs there.
-func (p *play) end(u int) {
-	p.down[u] = p.now + playReturn
+// crash stops an upstream with all that runs there.
+func (p *simulation) crash(u int) {
+	p.down[u] = p.now + restartTime
 	var broken []*flight
 	p.flights = slices.DeleteFunc(p.flights, func(f *flight) bool {
 		if f.upstream == u {
@@ -98,44 +98,45 @@
 	})
 	e := Crash{Upstream: fmt.Sprint("u", u), At: at(p.now)}
 	for _, f := range broken {
-		e.Fingerprint = printOf(f.body)
+		e.Fingerprint = fingerprintOf(f.body)
 		p.nodes[f.node].ObserveCrash(at(p.now), e)
 	}
 	for _, f := range broken {
 		switch {
-		case p.nodes[f.node].Remaining(at(p.now), printOf(f.body)) > 0:
-		case f.sends < 2: // the node's own retry
-			if !p.nodes[f.node].MayRetry(printOf(f.body), func(u string) bool { return u == e.Upstream }) {
-				p.denied[f.body] = true
+		case p.nodes[f.node].Remaining(at(p.now), fingerprintOf(f.body)) > 0:
+		case f.attempts < 2: // the node's own retry
+			if !p.nodes[f.node].MayRetry(fingerprintOf(f.body), func(u string) bool { return u == e.Upstream }) {
+				p.deniedRetries[f.body] = true
 				continue
 			}
 			p.send(*f)
-		case f.tries < 1: // the caller's, at another node
-			p.send(flight{node: p.r.Intn(len(p.nodes)), body: f.body, tries: f.tries + 1})
+		case f.callerAttempts < 1: // the caller's, at another node
+			p.send(flight{node: p.r.Intn(len(p.nodes)), body: f.body, callerAttempts: f.callerAttempts + 1})
 		}
 	}
 }
 
-// land ends what is over: answers, and upstreams under deadly requests.
-func (p *play) land() {
+// finish ends the requests that are due: harmless ones get a response, deadly ones crash their upstream.
+func (p *simulation) finish() {
 	for _, f := range slices.Clone(p.flights) {
-		if f.ends > p.now || !slices.Contains(p.flights, f) {
+		if f.endsAt > p.now || !slices.Contains(p.flights, f) {
 			continue
 		}
 		if !isDeadly(f.body) {
-			p.nodes[f.node].ObserveResponse(at(p.now), printOf(f.body))
+			p.nodes[f.node].ObserveResponse(at(p.now), fingerprintOf(f.body))
 			p.flights = slices.DeleteFunc(p.flights, func(x *flight) bool { return x == f })
 			continue
 		}
-		if p.ended[f.body]++; p.ended[f.body] == CrashThreshold {
-			p.proved[f.body] = p.now
+		if p.crashed[f.body]++; p.crashed[f.body] == CrashThreshold {
+			p.thresholdAt[f.body] = p.now
 		}
-		p.end(f.upstream)
+		p.crash(f.upstream)
 	}
 }
 
-// tell lets nodes and relays swap words, and returns the largest message.
-func (p *play) tell() int {
+// exchange lets nodes and relays exchange updates and returns the number of crashes in the largest
+// message.
+func (p *simulation) exchange() int {
 	most := 0
 	swap := func(x, y *Tracker) {
 		w, v := x.BuildUpdate(at(p.now)), y.BuildUpdate(at(p.now))
@@ -144,67 +145,67 @@
 		x.Merge(at(p.now), v)
 	}
 	for i := range p.nodes {
-		if h := i / playRelay * playRelay; h != i {
+		if h := i / nodesPerRelay * nodesPerRelay; h != i {
 			swap(p.nodes[i], p.nodes[h])
 		}
 	}
-	for i := 0; i < len(p.nodes); i += playRelay {
-		for j := i + playRelay; j < len(p.nodes); j += playRelay {
+	for i := 0; i < len(p.nodes); i += nodesPerRelay {
+		for j := i + nodesPerRelay; j < len(p.nodes); j += nodesPerRelay {
 			swap(p.nodes[i], p.nodes[j])
 		}
 	}
 	return most
 }
 
-// withdraw takes back what is held back by now and waits at an upstream still.
-func (p *play) withdraw() {
+// cancelQuarantined withdraws requests that are quarantined by now and still wait at an upstream.
+func (p *simulation) cancelQuarantined() {
 	p.flights = slices.DeleteFunc(p.flights, func(f *flight) bool {
-		return f.ends > p.now+100*time.Millisecond && p.nodes[f.node].Remaining(at(p.now), printOf(f.body)) > 0
+		return f.endsAt > p.now+100*time.Millisecond && p.nodes[f.node].Remaining(at(p.now), fingerprintOf(f.body)) > 0
 	})
 }
 
-// wave ends six tenths of the upstreams, each six seconds.
-func (p *play) wave() {
+// stopWave stops 60 % of the upstreams every six seconds.
+func (p *simulation) stopWave() {
 	if p.now%(6*time.Second) != 3*time.Second {
 		return
 	}
 	for u := range p.down {
 		if p.r.Intn(10) < 6 && p.down[u] <= p.now {
-			p.end(u)
+			p.crash(u)
 		}
 	}
 }
 
-// run plays so many seconds. Each deadly body comes every so often, at any node.
-func (p *play) run(seconds int, deadly int, every time.Duration, waves bool) (message int) {
-	for ; p.now < time.Duration(seconds)*time.Second; p.now += playTick {
-		for range len(p.nodes) / 4 { // some five a second at a node
+// run simulates a number of seconds. Each deadly body is sent at the interval every, at any node.
+func (p *simulation) run(seconds int, deadly int, every time.Duration, waves bool) (message int) {
+	for ; p.now < time.Duration(seconds)*time.Second; p.now += tick {
+		for range len(p.nodes) / 4 { // about five a second at a node
 			p.counter++
 			body := fmt.Sprint("harmless ", p.counter)
-			p.innocent[body] = true
+			p.harmless[body] = true
 			p.send(flight{node: p.r.Intn(len(p.nodes)), body: body})
 		}
 		for d := range deadly {
-			if p.now%every == time.Duration(d)*playTick%every {
+			if p.now%every == time.Duration(d)*tick%every {
 				p.send(flight{node: p.r.Intn(len(p.nodes)), body: fmt.Sprint("deadly ", d)})
 			}
 		}
 		if waves {
-			p.wave()
+			p.stopWave()
 		}
-		p.land()
-		if p.now%playRound == 0 {
-			message = max(message, p.tell())
-			p.withdraw()
+		p.finish()
+		if p.now%roundInterval == 0 {
+			message = max(message, p.exchange())
+			p.cancelQuarantined()
 		}
 	}
 	return message
 }
 
-// TestFleets plays fleets of 12, 70 and 419 nodes (of 12 with the race detector), with one deadly request
-// or six at once, alone and beside waves. The bound: no more than three sends later than four
-// seconds after the third end. What runs beside is held back once in a thousand at most, also
-// in waves.
+// TestFleets simulates fleets of 12, 70 and 419 nodes (of 12 with the race detector), with one deadly
+// request or six at once, with and without waves. A deadly request may be sent at most three times later
+// than four seconds after it has crashed CrashThreshold upstreams. At most one in a thousand of the other
+// requests is quarantined, also in waves.
 func TestFleets(t *testing.T) {
 	for _, v := range []struct {
 		nodes, upstreams, deadly, seconds int
@@ -212,7 +213,7 @@
 	}{{12, 12, 1, 100, false}, {12, 12, 6, 40, true}, {70, 60, 1, 100, false}, {70, 60, 6, 40, true}, {419, 300, 6, 40, true}} {
 		seeds := 4
 		if v.deadly == 1 {
-			seeds = 40 // of which one let through four after the bound, until nodes told each other
+			seeds = 40 // one of these seeds had four late sends while nodes did not announce probes
 		}
 		if v.nodes > 12 && raceEnabled {
 			continue
@@ -221,22 +222,22 @@
 			seeds = 1
 		}
 		t.Run(fmt.Sprintf("%d nodes, %d deadly, waves %t", v.nodes, v.deadly, v.waves), func(t *testing.T) {
-			most, late, held, ran, message := 0, 0, 0, 0, 0
+			most, late, quarantined, ran, message := 0, 0, 0, 0, 0
 			for seed := range seeds {
-				p := newPlay(int64(seed), v.nodes, v.upstreams)
+				p := newSimulation(int64(seed), v.nodes, v.upstreams)
 				message = max(message, p.run(v.seconds, v.deadly, 400*time.Millisecond, v.waves))
-				for _, n := range p.ended {
+				for _, n := range p.crashed {
 					most = max(most, n)
 				}
-				for _, n := range p.late {
+				for _, n := range p.lateSends {
 					late = max(late, n)
 				}
-				held, ran = held+len(p.refused), ran+len(p.innocent)
+				quarantined, ran = quarantined+len(p.rejected), ran+len(p.harmless)
 			}
-			t.Logf("upstreams ended by one request: %d at most; sent after the bound: %d at most; held back of others: %d of %d; ends in a message: %d at most",
-				most, late, held, ran, message)
+			t.Logf("upstreams crashed by one request: at most %d; late sends: at most %d; other requests quarantined: %d of %d; crashes in a message: at most %d",
+				most, late, quarantined, ran, message)
 			assert.LessOrEqual(t, late, 3)
-			assert.LessOrEqual(t, held*1000, ran)
+			assert.LessOrEqual(t, quarantined*1000, ran)
 		})
 	}
 }
--- a/internal/quarantine/form.go
+++ b/internal/quarantine/form.go
@@ -2,35 +2,36 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// This file is what a body has in common with those that differ from it by a counter, a time or an id. It is
-// the body with each number replaced by a mark, and each word of some length that has a digit in it by
-// another: ids are drawn from letters and digits, dates and times have their digits between dashes and colons.
+// This file computes the normalized form of a body: what it has in common with bodies that differ from it
+// by a counter, a time or an ID. Each number is replaced by a mark, and each longer word that contains a
+// digit by another mark: IDs consist of letters and digits, and dates and times have their digits between
+// dashes and colons.
 //
-// Weighed: the length of the body (a counter that gains a digit has another one, as have ids and dates of
-// several forms); a sketch of the body's parts (harmless requests share
-// most of their parts with the deadly ones, and an answer to one of these would speak for all).
+// Alternatives considered: the length of the body (it changes when a counter gains a digit, and with IDs
+// and dates of varying formats); a sketch of the body's parts (harmless requests share most of their
+// parts with the deadly ones, and a response to one harmless request would clear all of them).
 
 const (
-	// idLeast is the length from which a word with a digit in it is an id. Shorter ones are words like "B2B", of which the
-	// number alone is passed over.
-	idLeast = 8
+	// minIDLength is the length from which a word with a digit counts as an ID. In shorter words, such as
+	// "B2B", only the number is replaced.
+	minIDLength = 8
 )
 
-// The marks are bytes that no text has.
+// The marks are bytes that do not occur in text.
 var numberMark, idMark = []byte{1}, []byte{2}
 
-// formOf writes a body's form into a hash.
-func formOf(d *xxhash.Digest, body []byte) {
-	from := 0 // what stands before it is written
+// writeNormalized writes the normalized form of a body to a hash.
+func writeNormalized(d *xxhash.Digest, body []byte) {
+	from := 0 // body[:from] is written
 	for i := 0; i < len(body); {
-		if kinds[body[i]] == between {
+		if byteClass[body[i]] == separator {
 			i++
 			continue
 		}
 		end, digits := wordAt(body, i)
 		if digits {
 			_, _ = d.Write(body[from:i]) // never fails
-			markWord(d, body[i:end])
+			writeMarkedWord(d, body[i:end])
 			from = end
 		}
 		i = end
@@ -38,39 +39,40 @@
 	_, _ = d.Write(body[from:])
 }
 
-// wordAt returns the end of the word that begins at i, and whether it has a digit.
+// wordAt returns the end of the word that starts at i, and whether the word contains a digit.
 func wordAt(body []byte, i int) (end int, digits bool) {
-	for ; i < len(body) && kinds[body[i]] != between; i++ {
-		digits = digits || kinds[body[i]] == digit
+	for ; i < len(body) && byteClass[body[i]] != separator; i++ {
+		digits = digits || byteClass[body[i]] == digit
 	}
 	return i, digits
 }
 
-// markWord writes what is the same in all words that differ from one by its numbers.
-func markWord(d *xxhash.Digest, word []byte) {
-	if len(word) >= idLeast {
+// writeMarkedWord writes what all words that differ from this one only by numbers have in common.
+func writeMarkedWord(d *xxhash.Digest, word []byte) {
+	if len(word) >= minIDLength {
 		_, _ = d.Write(idMark)
 		return
 	}
 	for i := range word {
 		switch {
-		case kinds[word[i]] != digit:
+		case byteClass[word[i]] != digit:
 			_, _ = d.Write(word[i : i+1])
-		case i == 0 || kinds[word[i-1]] != digit:
+		case i == 0 || byteClass[word[i-1]] != digit:
 			_, _ = d.Write(numberMark)
 		}
 	}
 }
 
-// The kinds of bytes.
+// Byte classes.
 const (
-	between = iota // words
-	letter         // or a sign that ids and times have between theirs
+	separator = iota // not part of a word
+	letter           // or a character that joins the parts of an ID or a time
 	digit
 )
 
-// kinds tells what words are made of: letters, digits, and the signs that ids and times have between them.
-var kinds = func() (k [256]byte) {
+// byteClass maps each byte to its class. Words consist of letters, digits and the characters that join
+// the parts of IDs and times.
+var byteClass = func() (k [256]byte) {
 	for c := range k {
 		switch {
 		case c >= '0' && c <= '9':
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -6,10 +6,10 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file turns what books tell each other into messages, and back.
+// This file converts updates between trackers to wire messages and back.
 
-// ToWire returns the message that tells the words; nil: there is nothing to tell. Clocks differ
-// between VMs, so times go as ages.
+// ToWire returns the message for an update, or nil if the update is empty. It carries ages instead of
+// times, because clocks differ between VMs.
 func (w Update) ToWire(now time.Time) *wire.Suspicions {
 	if w.Empty() {
 		return nil
@@ -27,8 +27,8 @@
 	return m
 }
 
-// UpdateFromWire is the inverse of ToWire. It passes over prints of another length, which a node
-// of another version may tell.
+// UpdateFromWire is the inverse of ToWire. It skips fingerprints of another length, which a node of
+// another version may send.
 func UpdateFromWire(now time.Time, m *wire.Suspicions) Update {
 	var w Update
 	for _, e := range m.GetEnds() {
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -8,29 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what a request has in common with every repeat of it.
+// Request holds the parts of a request that are the same in every repeat of it.
 type Request struct {
 	Method    string
 	Host      string
-	Target    string // path and query, as they were sent
-	Workspace string // whose request it is; empty: of a public route
+	Target    string // path and query, as sent
+	Workspace string // that the request belongs to; empty for a public route
 	Body      []byte
 }
 
 const (
 	shapeSize  = 8
-	digestSize = 16 // bytes of a SHA-256, so that nobody finds a body that passes for another's
+	digestSize = 16 // bytes of a SHA-256, so that no other body can be made that has the same digest
 )
 
-// Fingerprint tells requests apart. Two requests that differ in a field of Request have different
-// prints; repeats have the same one, whatever ids and deadlines they carry.
+// Fingerprint identifies a request. Two requests that differ in a field of Request have different
+// fingerprints; repeats have the same one, whatever IDs and deadlines they carry.
 type Fingerprint [shapeSize + digestSize]byte
 
-// Shape is the part of a print that all requests have in common which are alike: form.go says what of the body it
-// takes. It is looked at only where ends were seen (BenchmarkPrint).
+// Shape is the part of a fingerprint that similar requests have in common (normalize.go says what of the body
+// it covers). It is computed only once crashes have been observed (BenchmarkFingerprint).
 type Shape uint64
 
-// ShapeOf returns the shape of a request's print.
+// ShapeOf returns the shape of a request's fingerprint.
 func ShapeOf(r Request) Shape {
 	var d xxhash.Digest
 	d.Reset()
@@ -38,11 +38,11 @@
 		_, _ = d.WriteString(s) // never fails
 		_, _ = d.Write([]byte{0})
 	}
-	formOf(&d, r.Body)
+	writeNormalized(&d, r.Body)
 	return Shape(d.Sum64())
 }
 
-// FingerprintOf returns the print of a request.
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
 	field := func(b []byte) {
@@ -61,8 +61,8 @@
 	return p
 }
 
-// Shape returns the print's shape.
+// Shape returns the fingerprint's shape.
 func (p Fingerprint) Shape() Shape { return Shape(binary.LittleEndian.Uint64(p[:shapeSize])) }
 
-// String is the print as logs and operators name it.
+// String returns the fingerprint as it is shown in logs and to operators.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[shapeSize:]) }
--- a/internal/quarantine/race_test.go
+++ b/internal/quarantine/race_test.go
@@ -2,5 +2,5 @@
 
 package quarantine
 
-// raceEnabled says that the tests run with the race detector, which slows a play tenfold.
+// raceEnabled says that the tests run with the race detector, which slows a simulation tenfold.
 const raceEnabled = true
--- a/internal/quarantine/words.go
+++ b/internal/quarantine/words.go
@@ -6,43 +6,42 @@
 	"time"
 )
 
-// This file is what books tell each other. What is news to a book it tells on for a while,
-// so a word reaches all nodes whoever of them talk to each other; what holds a request back
-// it tells always, to those that begin or come back later.
+// This file exchanges state between trackers. A tracker forwards what is new to it for a while, so that
+// an update reaches all nodes whichever of them exchange messages. Crashes that quarantine a request are
+// always included, for nodes that start or reappear later.
 
 const (
-	// tellsFor is how long news is told: some rounds, since a report may be lost.
-	tellsFor = 2 * time.Second
-	// endsTold bounds the ends in one message, some 70 bytes each: what a wave of reclaims makes of
-	// most upstreams of a hall, told by many nodes.
-	endsTold = 400
+	// announceFor is how long a change is announced: several rounds, since a report may be lost.
+	announceFor = 2 * time.Second
+	// maxUpdateCrashes bounds the crashes in one message, some 70 bytes each. It covers a wave of
+	// reclaims that stops most upstreams of a hall, reported by many nodes.
+	maxUpdateCrashes = 400
 )
 
-// Response is that a request was answered whole.
+// Response records that a request got a complete response.
 type Response struct {
 	Fingerprint Fingerprint
-	At    time.Time
+	At          time.Time
 }
 
-// Probe is that a request that was held back was let through. Others wait for how it ends:
-// without that word they let through another one in the second and a half until they hear of
-// its end.
+// Probe records that a quarantined request was admitted. Other nodes wait for its outcome: without this
+// record they would admit another one in the 1.5 s until they learn of its crash.
 type Probe struct {
 	Fingerprint Fingerprint
-	At    time.Time
+	At          time.Time
 }
 
-// Update is what a book tells.
+// Update is what a tracker sends to others.
 type Update struct {
-	Crashes    []Crash
+	Crashes   []Crash
 	Responses []Response
-	Probes  []Probe
+	Probes    []Probe
 }
 
-// Empty tells whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (w Update) Empty() bool { return len(w.Crashes)+len(w.Responses)+len(w.Probes) == 0 }
 
-// BuildUpdate returns what is to be told now. What has lapsed is forgotten.
+// BuildUpdate returns what is to be sent now. It removes what has expired.
 func (b *Tracker) BuildUpdate(now time.Time) Update {
 	if b.size.Load() == 0 {
 		return Update{}
@@ -51,93 +50,93 @@
 	defer b.mu.Unlock()
 	var w Update
 	var list []*suspect
-	alike := b.heldShapes()
+	shapes := b.quarantinedShapes()
 	for p, s := range b.suspects {
-		if s.lapsed(now) {
-			b.drop(p)
+		if s.expired(now) {
+			b.remove(p)
 			continue
 		}
-		news := now.Sub(s.changed) <= tellsFor
-		if news || !s.until.IsZero() || alike[p.Shape()] {
+		recent := now.Sub(s.updatedAt) <= announceFor
+		if recent || !s.until.IsZero() || shapes[p.Shape()] {
 			list = append(list, s)
 		}
-		if news && !s.cleared.IsZero() {
-			w.Responses = append(w.Responses, Response{p, s.cleared})
+		if recent && !s.clearedAt.IsZero() {
+			w.Responses = append(w.Responses, Response{p, s.clearedAt})
 		}
-		if now.Sub(s.tried) <= tellsFor {
-			w.Probes = append(w.Probes, Probe{p, s.tried})
+		if now.Sub(s.probedAt) <= announceFor {
+			w.Probes = append(w.Probes, Probe{p, s.probedAt})
 		}
 	}
-	for _, f := range b.families {
-		if now.Sub(f.cleared.At) <= tellsFor {
-			w.Responses = append(w.Responses, f.cleared)
+	for _, f := range b.shapes {
+		if now.Sub(f.clearedBy.At) <= announceFor {
+			w.Responses = append(w.Responses, f.clearedBy)
 		}
-		if now.Sub(f.tried.At) <= tellsFor {
-			w.Probes = append(w.Probes, f.tried)
+		if now.Sub(f.lastProbe.At) <= announceFor {
+			w.Probes = append(w.Probes, f.lastProbe)
 		}
 	}
 	slices.SortFunc(list, func(x, y *suspect) int {
-		return cmp.Or(cmp.Compare(len(y.ends), len(x.ends)), y.changed.Compare(x.changed))
+		return cmp.Or(cmp.Compare(len(y.crashes), len(x.crashes)), y.updatedAt.Compare(x.updatedAt))
 	})
 	for _, s := range list {
-		if len(w.Crashes)+len(s.ends) > endsTold {
+		if len(w.Crashes)+len(s.crashes) > maxUpdateCrashes {
 			break
 		}
-		w.Crashes = append(w.Crashes, s.ends...)
+		w.Crashes = append(w.Crashes, s.crashes...)
 	}
 	return w
 }
 
-// heldShapes returns the shapes that are held back.
-func (b *Tracker) heldShapes() map[Shape]bool {
+// quarantinedShapes returns the shapes that are quarantined.
+func (b *Tracker) quarantinedShapes() map[Shape]bool {
 	m := make(map[Shape]bool)
-	for s, f := range b.families {
-		if len(f.ends) >= familyProof && !f.until().IsZero() {
+	for s, f := range b.shapes {
+		if len(f.crashes) >= shapeCrashThreshold && !f.until().IsZero() {
 			m[s] = true
 		}
 	}
 	return m
 }
 
-// Evidence returns the ends that hold requests back, and a number that rises with each change of
-// which do.
+// Evidence returns the crashes that quarantine requests, and a revision that rises with each change of
+// the quarantined requests.
 func (b *Tracker) Evidence() ([]Crash, int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Crash
 	for _, s := range b.suspects {
 		if !s.until.IsZero() {
-			list = append(list, s.ends...)
+			list = append(list, s.crashes...)
 		}
 	}
-	return list, b.held
+	return list, b.revision
 }
 
-// Merge takes in what another book told.
+// Merge applies an update of another tracker.
 func (b *Tracker) Merge(now time.Time, w Update) []Change {
 	if w.Empty() {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	news := false
+	changed := false
 	for _, a := range w.Responses {
-		news = b.clear(now, a.Fingerprint, a.At) || news
-		b.clearAlike(a)
+		changed = b.clear(now, a.Fingerprint, a.At) || changed
+		b.clearShape(a)
 	}
 	for _, e := range w.Crashes {
-		news = b.add(now, e) || news
+		changed = b.addCrash(now, e) || changed
 	}
 	for _, t := range w.Probes {
-		if s := b.suspects[t.Fingerprint]; s != nil && t.At.Sub(s.tried) >= sameWithin {
-			s.tried = t.At
+		if s := b.suspects[t.Fingerprint]; s != nil && t.At.Sub(s.probedAt) >= sameCrashWindow {
+			s.probedAt = t.At
 		}
-		if f := b.families[t.Fingerprint.Shape()]; f != nil && t.At.After(f.tried.At) {
-			f.tried = t
+		if f := b.shapes[t.Fingerprint.Shape()]; f != nil && t.At.After(f.lastProbe.At) {
+			f.lastProbe = t
 		}
 	}
-	if !news && len(b.alike) == 0 {
+	if !changed && len(b.shapeChanges) == 0 {
 		return nil
 	}
-	return b.settle()
+	return b.evaluate()
 }
