--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -55,16 +55,16 @@
 type sent struct{ at, arrives time.Time }
 
 type fleetOptions struct {
-	nodes   int
-	demand  float64 // requests a second at each node
-	rate    func(at time.Duration) (float64, bool)
-	kills   float64 // nodes a second that are killed, and start again within 4 s
-	sharers func(rate float64, nodes int) int
-	lost    time.Duration               // when all nodes are killed at once; 0: never
-	cut     func(at time.Duration) bool // whether the two halls don't hear each other
-	listed  bool                        // the nodes of the other hall stand in the registry in a cut
-	reached bool                        // the upstream is reached from both halls in a cut
-	seed    uint64
+	nodes       int
+	demand      float64 // requests a second at each node
+	rate        func(at time.Duration) (float64, bool)
+	kills       float64 // nodes a second that are killed, and start again within 4 s
+	sharerCount func(rate float64, nodes int) int
+	lost        time.Duration               // when all nodes are killed at once; 0: never
+	cut         func(at time.Duration) bool // whether the two halls don't hear each other
+	listed      bool                        // the nodes of the other hall stand in the registry in a cut
+	reached     bool                        // the upstream is reached from both halls in a cut
+	seed        uint64
 }
 
 // apart tells whether two nodes, of a hall each in turn, don't hear each other.
@@ -88,8 +88,8 @@
 func (f *fleet) book(o fleetOptions, i int) *Tracker {
 	b := NewTracker(fmt.Sprint("n", i))
 	b.SetNodes(nil, nil)
-	if o.sharers != nil {
-		b.sharers = o.sharers
+	if o.sharerCount != nil {
+		b.sharerCount = o.sharerCount
 	}
 	return b
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,21 +1,23 @@
-// Package limit holds what upstreams take from all nodes together, where they name a rate, and says when
-// this node may send there.
+// Package limit tracks the request rates that upstreams state for all nodes together, and decides when
+// this node may send to them.
 //
-// A word is an upstream's own, in an answer: it names a rate, or by saying nothing lifts the one before. Nodes
-// tell each other words with their ages, and the newest holds. Of answers that overtake each other, one that
-// allows more is believed only if its request was sent after the word that it would replace was heard.
+// An observation is what an upstream stated in a response: it names a rate, or lifts the previous one by
+// naming none. Nodes exchange observations with their ages, and the latest one holds. When responses
+// overtake each other, one that allows more is accepted only if its request was sent after the
+// observation that it would replace.
 //
-// Nobody is asked for leave to send. Each node knows the rate and the other nodes, and so the few that share
-// the rate: those that come first by a hash of the upstream's and the node's name, as many as the rate gives a
-// share that is of use to one (share.go). The others send nothing there. What changes in between (nodes that
-// come and go, words on their way) costs a moment in which two lists differ; whoever comes to a share begins
-// with nothing saved, so that a share that moves isn't used twice.
+// No node asks for permission to send. Each node knows the rate and the other nodes, and so the few nodes
+// that share the rate: the first ones by a hash of the upstream and the node's name, as many as leave
+// each of them a useful share (share.go). The others send nothing there. While nodes come and go or
+// observations are under way, two nodes may use different lists for a moment; a node that gains a share
+// starts with nothing saved, so that a share that moves is not used twice.
 //
-// Weighed: a part of the rate for each node. With a rate below one request a node and a second, all save up for
-// a request at the same time, and what they may send together grows with the fleet and not with the rate.
-// Weighed, too: one node that hands out turns (a call before each request, and nobody while it is gone or cut off).
+// Alternatives considered: a part of the rate for each node (with a rate below one request a second per
+// node, all nodes save up for a request at the same time, and the burst they may send together grows with
+// the fleet instead of the rate); one node that hands out turns (a call before each request, and no
+// sending while that node is down or partitioned off).
 //
-// The package is pure: time comes in.
+// The package reads no clock: callers pass times in.
 package limit
 
 import (
@@ -26,149 +28,158 @@
 )
 
 const (
-	// wordKeeps is how long a word holds that no answer renews: nodes that share a rate ask in less.
-	wordKeeps = time.Minute
-	// wordFresh is the difference of age from which the same word counts as renewed: what it takes to hand
-	// a word on makes it look younger, and handed on in a circle it would never grow old.
-	wordFresh = time.Second
-	// wordsMost bounds the upstreams that are remembered.
-	wordsMost = 1024
-	// rateLeast is the rate at which one that takes nothing, or next to nothing, is asked all the same: only its
-	// answers tell when that is over.
-	rateLeast = 0.1 // requests a second
+	// observationTTL is how long an observation holds without a response that renews it: the nodes that
+	// share a rate send requests more often than that.
+	observationTTL = time.Minute
+	// renewalThreshold is the difference in age from which an equal observation counts as renewed. The
+	// time that forwarding takes makes an observation look younger; without the threshold one that is
+	// forwarded in a circle would never expire.
+	renewalThreshold = time.Second
+	// maxObservations bounds the upstreams that are remembered.
+	maxObservations = 1024
+	// minRate is the rate at which an upstream still gets requests that allows none or next to none: only
+	// its responses tell when that ends.
+	minRate = 0.1 // requests per second
 )
 
-// Observation is what is known of one upstream.
+// Observation is the latest rate that an upstream stated.
 type Observation struct {
-	Upstream     retry.Lifetime
-	Rate   float64 // requests a second, from all nodes together
-	Lifted bool    // it names no rate any more
-	At     time.Time
+	Upstream retry.Lifetime
+	Rate     float64 // requests per second, from all nodes together
+	Lifted   bool    // the upstream no longer names a rate
+	At       time.Time
 }
 
-// valid tells whether a word can be meant.
-func (w Observation) valid() bool { return w.Upstream.ID != "" && w.Rate >= 0 && !math.IsInf(w.Rate, 0) }
+// valid reports whether an observation can be meant.
+func (w Observation) valid() bool {
+	return w.Upstream.ID != "" && w.Rate >= 0 && !math.IsInf(w.Rate, 0)
+}
 
-// same tells whether two words say the same.
-func (w Observation) same(o Observation) bool { return w.Lifted == o.Lifted && (w.Lifted || w.Rate == o.Rate) }
+// same reports whether two observations state the same.
+func (w Observation) same(o Observation) bool {
+	return w.Lifted == o.Lifted && (w.Lifted || w.Rate == o.Rate)
+}
 
-// Tracker is what one node knows. It isn't safe for concurrent use.
+// Tracker holds the observations and shares of one node. It isn't safe for concurrent use.
 type Tracker struct {
-	self    string
-	nodes   []string // that may send, this one included
-	placers []string // those of them that choose engines for all others; empty: each node chooses
-	version uint64   // of both
-	known   map[retry.Lifetime]*known
-	sharers func(rate float64, nodes int) int
+	self        string
+	nodes       []string // that may send, this one included
+	placers     []string // of these, the nodes that choose engines for all others; empty: each node chooses
+	version     uint64   // of nodes and placers
+	upstreams   map[retry.Lifetime]*upstream
+	sharerCount func(rate float64, nodes int) int
 }
 
-// known is one upstream's word, and this node's part of it.
-type known struct {
+// upstream is the observation of one upstream, and this node's share of its rate.
+type upstream struct {
 	Observation
 	share share
 }
 
-// NewTracker returns the book of a node that knows of no other one.
+// NewTracker returns the tracker of a node that knows no other nodes.
 func NewTracker(self string) *Tracker {
-	return &Tracker{self: self, nodes: []string{self}, version: 1, known: make(map[retry.Lifetime]*known), sharers: sharers}
+	return &Tracker{self: self, nodes: []string{self}, version: 1, upstreams: make(map[retry.Lifetime]*upstream), sharerCount: sharerCount}
 }
 
-// ObserveRate takes in an answer that names a rate, to a request that was sent at a time, and returns whether that
-// is news.
+// ObserveRate records a response that names a rate, to a request sent at the given time, and reports
+// whether that is a change.
 func (b *Tracker) ObserveRate(now, sent time.Time, of retry.Lifetime, rate float64) bool {
 	w := Observation{Upstream: of, Rate: rate, At: now}
-	old := b.known[of]
+	old := b.upstreams[of]
 	if !w.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
 		return false
 	}
-	return b.learn(w)
+	return b.replace(w)
 }
 
-// ObserveNoRate takes in an answer that names none, and returns whether that is news.
+// ObserveNoRate records a response that names no rate, and reports whether that is a change.
 func (b *Tracker) ObserveNoRate(now, sent time.Time, of retry.Lifetime) bool {
-	old := b.known[of]
+	old := b.upstreams[of]
 	if old == nil || old.Lifted || !sent.After(old.At) {
 		return false
 	}
-	return b.learn(Observation{Upstream: of, Lifted: true, At: now})
+	return b.replace(Observation{Upstream: of, Lifted: true, At: now})
 }
 
-// Merge takes in what another node knows, and returns what is news.
+// Merge applies the observations of another node and returns those that changed something.
 func (b *Tracker) Merge(now time.Time, words []Observation) []Observation {
-	var news []Observation
+	var changed []Observation
 	for _, w := range words {
-		if !w.valid() || now.Sub(w.At) > wordKeeps || w.At.After(now) {
+		if !w.valid() || now.Sub(w.At) > observationTTL || w.At.After(now) {
 			continue
 		}
-		old := b.known[w.Upstream]
-		if old == nil && w.Lifted || old != nil && (!w.At.After(old.At) || old.same(w) && w.At.Sub(old.At) < wordFresh) {
+		old := b.upstreams[w.Upstream]
+		if old == nil && w.Lifted || old != nil && (!w.At.After(old.At) || old.same(w) && w.At.Sub(old.At) < renewalThreshold) {
 			continue
 		}
-		if b.learn(w) {
-			news = append(news, w)
+		if b.replace(w) {
+			changed = append(changed, w)
 		}
 	}
-	return news
+	return changed
 }
 
-// learn puts a word in the place of the one before, and returns whether it says something else.
-func (b *Tracker) learn(w Observation) bool {
-	k := b.known[w.Upstream]
+// replace stores an observation in place of the previous one and reports whether it states something
+// else.
+func (b *Tracker) replace(w Observation) bool {
+	k := b.upstreams[w.Upstream]
 	if k == nil {
-		b.forget(w.At)
-		k = &known{Observation: Observation{Upstream: w.Upstream, Lifted: true}}
-		b.known[w.Upstream] = k
+		b.prune(w.At)
+		k = &upstream{Observation: Observation{Upstream: w.Upstream, Lifted: true}}
+		b.upstreams[w.Upstream] = k
 	}
-	news := !k.same(w)
-	if news && k.Lifted {
+	changed := !k.same(w)
+	if changed && k.Lifted {
 		k.share = share{} // nothing is saved up from a time without a limit
 	}
 	k.Observation = w
-	return news
+	return changed
 }
 
-// Forget drops the word of one life that is over, where its name may be the next one's, too.
-func (b *Tracker) Forget(of retry.Lifetime) { delete(b.known, of) }
+// Forget drops the observation of an upstream incarnation that has ended, for upstreams whose next
+// incarnation may have the same name.
+func (b *Tracker) Forget(of retry.Lifetime) { delete(b.upstreams, of) }
 
-// forget drops what no answer has renewed, and the oldest word if there are too many.
-func (b *Tracker) forget(now time.Time) {
-	var oldest *known
-	for of, k := range b.known {
-		if now.Sub(k.At) > wordKeeps {
-			delete(b.known, of)
+// prune drops observations that no response has renewed, and the oldest one if there are too many.
+func (b *Tracker) prune(now time.Time) {
+	var oldest *upstream
+	for of, k := range b.upstreams {
+		if now.Sub(k.At) > observationTTL {
+			delete(b.upstreams, of)
 		} else if oldest == nil || k.At.Before(oldest.At) {
 			oldest = k
 		}
 	}
-	if len(b.known) >= wordsMost {
-		delete(b.known, oldest.Upstream)
+	if len(b.upstreams) >= maxObservations {
+		delete(b.upstreams, oldest.Upstream)
 	}
 }
 
-// Observations returns what is known, for other nodes.
+// Observations returns all observations, for other nodes.
 func (b *Tracker) Observations(now time.Time) []Observation {
-	b.forget(now)
-	list := make([]Observation, 0, len(b.known))
-	for _, k := range b.known {
+	b.prune(now)
+	list := make([]Observation, 0, len(b.upstreams))
+	for _, k := range b.upstreams {
 		list = append(list, k.Observation)
 	}
 	return list
 }
 
-// Lookup returns the word that holds for an upstream, and what of its rate falls to this node, for who looks on.
+// Lookup returns the observation that holds for an upstream and this node's share of its rate, for
+// display.
 func (b *Tracker) Lookup(now time.Time, of retry.Lifetime) (w Observation, share float64, named bool) {
 	if _, named = b.Rate(now, of); !named {
 		return Observation{}, 0, false
 	}
-	k := b.known[of]
+	k := b.upstreams[of]
 	return k.Observation, k.share.rate, true
 }
 
-// Rate returns the rate that an upstream names, if it does.
+// Rate returns the rate that an upstream names, if any.
 func (b *Tracker) Rate(now time.Time, of retry.Lifetime) (float64, bool) {
-	k := b.known[of]
-	if k == nil || k.Lifted || now.Sub(k.At) > wordKeeps {
+	k := b.upstreams[of]
+	if k == nil || k.Lifted || now.Sub(k.At) > observationTTL {
 		return 0, false
 	}
-	return max(k.Rate, rateLeast), true
+	return max(k.Rate, minRate), true
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -66,17 +66,17 @@
 	t.Run("what no answer renews is over", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(at, at, one, 2)
-		assertRate(t, b, after(wordKeeps), one, 2)
-		assertRate(t, b, after(wordKeeps+1), one, 0)
-		assert.Empty(t, b.Observations(after(wordKeeps+1)))
+		assertRate(t, b, after(observationTTL), one, 2)
+		assertRate(t, b, after(observationTTL+1), one, 0)
+		assert.Empty(t, b.Observations(after(observationTTL+1)))
 	})
 	t.Run("only so many are remembered", func(t *testing.T) {
 		b := NewTracker("a")
-		for i := range 2 * wordsMost {
+		for i := range 2 * maxObservations {
 			b.ObserveRate(after(time.Duration(i)), at, retry.Lifetime{ID: fmt.Sprint(i)}, 1)
 		}
-		assert.Len(t, b.known, wordsMost)
-		assertRate(t, b, after(1), retry.Lifetime{ID: fmt.Sprint(2*wordsMost - 1)}, 1)
+		assert.Len(t, b.upstreams, maxObservations)
+		assertRate(t, b, after(1), retry.Lifetime{ID: fmt.Sprint(2*maxObservations - 1)}, 1)
 	})
 }
 
@@ -93,7 +93,7 @@
 		x.ObserveRate(at, at, one, 2)
 		now := at
 		const round, takes = 250 * time.Millisecond, 100 * time.Millisecond
-		for now.Sub(at) < wordKeeps+round {
+		for now.Sub(at) < observationTTL+round {
 			now = now.Add(round)
 			for _, w := range x.Observations(now) {
 				w.At = w.At.Add(takes)
@@ -120,7 +120,7 @@
 		assert.Equal(t, 500*time.Millisecond, b.Wait(at, one, false))
 		now := after(time.Hour)
 		b.ObserveRate(now, now, one, 2)
-		for range int(savedMost) {
+		for range int(maxSaved) {
 			assert.Zero(t, b.Wait(now, one, false))
 			b.Take(now, one, false)
 		}
@@ -173,7 +173,7 @@
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "nodes")
-		rate := rapid.Float64Range(rateLeast, 100).Draw(t, "rate")
+		rate := rapid.Float64Range(minRate, 100).Draw(t, "rate")
 		of := retry.Lifetime{ID: rapid.StringN(1, 8, 8).Draw(t, "id")}
 		var nodes []string
 		for i := range count {
@@ -184,7 +184,7 @@
 			b := NewTracker(n)
 			b.SetNodes(nodes, nil)
 			b.ObserveRate(at, at, of, rate)
-			sum += b.shareOf(at, b.known[of], rate, false).rate
+			sum += b.shareOf(at, b.upstreams[of], rate, false).rate
 		}
 		assert.InDelta(t, rate, sum, 1e-6)
 	})
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -11,41 +11,43 @@
 	"spurhall.example/spurhall/internal/retry"
 )
 
-// This file is who shares an upstream's rate, and what this node has left of its share.
+// This file decides which nodes share an upstream's rate, and tracks how much of its share this node has
+// left.
 //
-// The load that it answers: an upstream in need names a rate that is small beside what the fleet would send, often
-// below one request a node and a second. The rule allows half as much again, and five requests.
+// It is designed for overloaded upstreams: these name a rate that is small compared to what the fleet
+// would send, often below one request a second per node. Senders may exceed the rate by half of it and
+// five requests.
 
 const (
-	// shareLeast is the part of a rate that is worth having: a node has requests for as much.
-	shareLeast = 2.0 // requests a second
-	// savedMost is what a node may save up of its share: the request that is due, and one that was due while
-	// none came. With one alone, what passes until the next request comes is lost each time.
-	savedMost = 2.0
+	// minShare is the smallest useful share of a rate: a node has requests for as much.
+	minShare = 2.0 // requests per second
+	// maxSaved is how much of its share a node may save up: the request that is due, and one that was due
+	// while no request came. With only one, the time until the next request would be lost each time.
+	maxSaved = 2.0
 )
 
-// sharers is how many of some nodes share a rate.
-func sharers(rate float64, nodes int) int {
-	return max(1, int(min(float64(nodes), math.Ceil(rate/shareLeast))))
+// sharerCount returns how many of the nodes share a rate.
+func sharerCount(rate float64, nodes int) int {
+	return max(1, int(min(float64(nodes), math.Ceil(rate/minShare))))
 }
 
 // share is this node's part of a rate.
 type share struct {
-	rate     float64 // requests a second; 0: others have it
-	saved    float64 // requests that may be sent now
-	updated  time.Time
-	standing standing
+	rate    float64 // requests per second; 0: other nodes share the rate
+	saved   float64 // requests that may be sent now
+	updated time.Time
+	rank    rank
 }
 
-// standing is where this node stands among those that may share a rate.
-type standing struct {
-	version uint64 // of the nodes
+// rank is this node's position among those that may share a rate.
+type rank struct {
+	version uint64 // of Tracker.nodes and Tracker.placers
 	engine  bool
-	ahead   int // nodes that come before this one
+	ahead   int // number of nodes that come before this one
 	listed  bool
 }
 
-// SetNodes says which nodes there are, this one included, and which of them place requests at engines for all
+// SetNodes sets the nodes, this one included, and those of them that place requests at engines for all
 // others; none: each node chooses.
 func (b *Tracker) SetNodes(nodes, placers []string) {
 	if slices.Equal(nodes, b.nodes) && slices.Equal(placers, b.placers) {
@@ -55,19 +57,19 @@
 	b.version++
 }
 
-// senders returns the nodes of which some share a rate.
-func (b *Tracker) senders(engine bool) []string {
+// eligibleNodes returns the nodes of which some share a rate.
+func (b *Tracker) eligibleNodes(engine bool) []string {
 	if engine && len(b.placers) > 0 {
 		return b.placers
 	}
 	return b.nodes
 }
 
-// stand returns where this node stands for an upstream.
-func (b *Tracker) stand(of retry.Lifetime, engine bool) standing {
-	s := standing{version: b.version, engine: engine}
+// rankFor returns this node's rank for an upstream.
+func (b *Tracker) rankFor(of retry.Lifetime, engine bool) rank {
+	s := rank{version: b.version, engine: engine}
 	own := weight(of, b.self)
-	for _, n := range b.senders(engine) {
+	for _, n := range b.eligibleNodes(engine) {
 		if n == b.self {
 			s.listed = true
 		} else if cmp.Or(cmp.Compare(weight(of, n), own), cmp.Compare(n, b.self)) > 0 {
@@ -79,28 +81,28 @@
 
 func weight(of retry.Lifetime, node string) uint64 { return xxhash.Sum64String(of.ID + "\x00" + node) }
 
-// shareOf returns this node's part of a rate as of now.
-func (b *Tracker) shareOf(now time.Time, k *known, rate float64, engine bool) *share {
+// shareOf returns this node's share of a rate as of now.
+func (b *Tracker) shareOf(now time.Time, k *upstream, rate float64, engine bool) *share {
 	s := &k.share
-	if s.standing.version != b.version || s.standing.engine != engine {
-		s.standing = b.stand(k.Upstream, engine)
+	if s.rank.version != b.version || s.rank.engine != engine {
+		s.rank = b.rankFor(k.Upstream, engine)
 	}
 	part := 0.0
-	if count := b.sharers(rate, len(b.senders(engine))); s.standing.listed && s.standing.ahead < count {
+	if count := b.sharerCount(rate, len(b.eligibleNodes(engine))); s.rank.listed && s.rank.ahead < count {
 		part = rate / float64(count)
 	}
 	s.refill(now, part)
 	return s
 }
 
-// Wait returns how long it takes until this node may send to an upstream; 0: it may now. Where others share
-// the rate, it is the time in which one of them may.
+// Wait returns how long it takes until this node may send to an upstream; 0: it may now. If other nodes
+// share the rate, it is the time in which one of them may.
 func (b *Tracker) Wait(now time.Time, of retry.Lifetime, engine bool) time.Duration {
 	rate, named := b.Rate(now, of)
 	if !named {
 		return 0
 	}
-	s := b.shareOf(now, b.known[of], rate, engine)
+	s := b.shareOf(now, b.upstreams[of], rate, engine)
 	switch {
 	case s.saved >= 1:
 		return 0
@@ -110,25 +112,25 @@
 	return seconds((1 - s.saved) / s.rate)
 }
 
-// Take notes a request that is sent.
+// Take records a request that is sent.
 func (b *Tracker) Take(now time.Time, of retry.Lifetime, engine bool) {
 	if rate, named := b.Rate(now, of); named {
-		b.shareOf(now, b.known[of], rate, engine).saved--
+		b.shareOf(now, b.upstreams[of], rate, engine).saved--
 	}
 }
 
-// Return gives back what was taken for a request that didn't arrive.
+// Return gives back what was taken for a request that did not arrive.
 func (b *Tracker) Return(of retry.Lifetime) {
-	if k := b.known[of]; k != nil {
-		k.share.saved = min(savedMost, k.share.saved+1)
+	if k := b.upstreams[of]; k != nil {
+		k.share.saved = min(maxSaved, k.share.saved+1)
 	}
 }
 
-// refill adds what has come due of the share. Whoever gets one begins with nothing: another node may have used it
-// up a moment ago.
+// refill adds what has become due of the share. A node that gains a share starts with nothing: another
+// node may have just used it up.
 func (s *share) refill(now time.Time, rate float64) {
 	if s.rate > 0 && rate > 0 {
-		s.saved = min(savedMost, s.saved+s.rate*max(0, now.Sub(s.updated).Seconds()))
+		s.saved = min(maxSaved, s.saved+s.rate*max(0, now.Sub(s.updated).Seconds()))
 	} else {
 		s.saved = min(0, s.saved)
 	}
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -14,7 +14,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func fingerprintOf(body string) Fingerprint { return FingerprintOf(Request{Body: []byte(body)}) }
+func fpOf(body string) Fingerprint { return FingerprintOf(Request{Body: []byte(body)}) }
 
 // harness is a tracker with a clock.
 type harness struct {
@@ -27,11 +27,11 @@
 // crash crashes an upstream under requests that have started to run there.
 func (w *harness) crash(upstream string, bodies ...string) {
 	for _, v := range bodies {
-		w.b.ObserveCrash(at(w.now), Crash{Fingerprint: fingerprintOf(v), Upstream: upstream, At: at(w.now)})
+		w.b.ObserveCrash(at(w.now), Crash{Fingerprint: fpOf(v), Upstream: upstream, At: at(w.now)})
 	}
 }
 
-func (w *harness) check(body string) Verdict { return w.b.Check(at(w.now), fingerprintOf(body)) }
+func (w *harness) check(body string) Verdict { return w.b.Check(at(w.now), fpOf(body)) }
 
 func (w *harness) assertQuarantined(t *testing.T, want bool, bodies ...string) {
 	t.Helper()
@@ -84,7 +84,7 @@
 	t.Run("a response since then", func(t *testing.T) {
 		w := newHarness()
 		crashes(w, CrashThreshold-1, "x")
-		w.b.ObserveResponse(at(w.now), fingerprintOf("x"))
+		w.b.ObserveResponse(at(w.now), fpOf("x"))
 		w.now += sameCrashWindow
 		w.crash("u7", "x")
 		w.assertQuarantined(t, false, "x")
@@ -123,17 +123,17 @@
 		other.Merge(at(0), w.b.BuildUpdate(at(0)))
 		w.check("x")
 		other.Merge(at(w.now), w.b.BuildUpdate(at(w.now)))
-		v := other.Check(at(w.now), fingerprintOf("x"))
+		v := other.Check(at(w.now), fpOf("x"))
 		assert.True(t, v.Quarantined)
 		assert.LessOrEqual(t, v.Wait, probeTimeout)
 		assert.Empty(t, w.b.Merge(at(w.now), other.BuildUpdate(at(w.now))), "no change for the tracker that sent it")
 		w.now += probeTimeout
-		assert.True(t, other.Check(at(w.now), fingerprintOf("x")).Probe)
+		assert.True(t, other.Check(at(w.now), fpOf("x")).Probe)
 	})
 	t.Run("a response", func(t *testing.T) {
 		w := expired()
 		w.check("x")
-		c := w.b.ObserveResponse(at(w.now), fingerprintOf("x"))
+		c := w.b.ObserveResponse(at(w.now), fpOf("x"))
 		assert.Len(t, c, 1)
 		assert.False(t, c[0].Quarantined)
 		w.assertQuarantined(t, false, "x")
@@ -161,7 +161,7 @@
 		for i := range 8 {
 			b := NewTracker(fmt.Sprint("n", i))
 			b.Merge(at(0), update)
-			delays[b.Check(at(0), fingerprintOf("x")).Wait] = true
+			delays[b.Check(at(0), fpOf("x")).Wait] = true
 		}
 		assert.Len(t, delays, 8)
 	})
@@ -183,7 +183,7 @@
 		var reports []report
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			v := report{at: time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * grid}
-			p := fingerprintOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
+			p := fpOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
 				v.w.Responses = []Response{{p, at(v.at)}}
 			} else {
@@ -214,7 +214,7 @@
 		}
 		a, b := merged(), merged()
 		for _, x := range []string{"x", "y", "z"} {
-			assert.Equal(t, a.Remaining(now, fingerprintOf(x)) > 0, b.Remaining(now, fingerprintOf(x)) > 0, x)
+			assert.Equal(t, a.Remaining(now, fpOf(x)) > 0, b.Remaining(now, fpOf(x)) > 0, x)
 		}
 	})
 }
@@ -235,7 +235,7 @@
 	t.Run("a message is bounded, quarantined requests come first", func(t *testing.T) {
 		v := w.b.BuildUpdate(at(w.now))
 		assert.LessOrEqual(t, len(v.Crashes), maxUpdateCrashes)
-		assert.Equal(t, fingerprintOf("x"), v.Crashes[0].Fingerprint)
+		assert.Equal(t, fpOf("x"), v.Crashes[0].Fingerprint)
 	})
 	t.Run("crashes below the threshold expire", func(t *testing.T) {
 		w.b.BuildUpdate(at(w.now + suspectTTL + time.Second))
--- a/internal/quarantine/family_test.go
+++ b/internal/quarantine/family_test.go
@@ -16,9 +16,7 @@
 	}
 }
 
-func (w *harness) answered(body string) []Change {
-	return w.b.ObserveResponse(at(w.now), fingerprintOf(body))
-}
+func (w *harness) clear(body string) []Change { return w.b.ObserveResponse(at(w.now), fpOf(body)) }
 
 // TestShapeQuarantine covers what quarantines similar requests and what does not.
 func TestShapeQuarantine(t *testing.T) {
@@ -34,7 +32,7 @@
 	t.Run("a response in between", func(t *testing.T) {
 		w := newHarness()
 		w.series(0, shapeCrashThreshold-1)
-		w.answered("deadly 500")
+		w.clear("deadly 500")
 		w.series(shapeCrashThreshold-1, shapeCrashThreshold-1)
 		w.assertQuarantined(t, false, "deadly 999")
 	})
@@ -43,9 +41,9 @@
 		w.series(0, shapeCrashThreshold-1)
 		late := w.now
 		w.now += time.Second
-		w.answered("deadly 500")
+		w.clear("deadly 500")
 		for i := range shapeCrashThreshold {
-			e := Crash{Fingerprint: fingerprintOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
+			e := Crash{Fingerprint: fpOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
 			w.b.Merge(at(w.now), Update{Crashes: []Crash{e}})
 		}
 		w.assertQuarantined(t, false, "deadly 999")
@@ -79,7 +77,7 @@
 		assert.True(t, w.check("deadly 101").Probe)
 		w.now += probeTimeout - time.Millisecond
 		w.assertQuarantined(t, true, "deadly 102")
-		assert.Len(t, w.answered("deadly 101"), 1)
+		assert.Len(t, w.clear("deadly 101"), 1)
 		w.assertQuarantined(t, false, "deadly 102", "deadly 103")
 	})
 	t.Run("the longest quarantine", func(t *testing.T) {
@@ -103,7 +101,7 @@
 		assert.True(t, w.check("deadly 100").Probe)
 		exchange()
 		o.assertQuarantined(t, true, "deadly 101")
-		w.answered("deadly 100")
+		w.clear("deadly 100")
 		released := exchange()
 		if assert.Len(t, released, 1) {
 			assert.False(t, released[0].Quarantined)
@@ -113,7 +111,7 @@
 	t.Run("the crashes of a shape are bounded and removed with its last request", func(t *testing.T) {
 		w := newHarness()
 		w.series(0, 2*maxShapeCrashes)
-		shape := fingerprintOf("deadly 000").Shape()
+		shape := fpOf("deadly 000").Shape()
 		assert.Len(t, w.b.shapes[shape].crashes, maxShapeCrashes)
 		w.b.BuildUpdate(at(w.now + suspectTTL + time.Second))
 		assert.Empty(t, w.b.shapes)
@@ -134,11 +132,11 @@
 			return false
 		}
 	}
-	assert.True(t, w.b.MayRetry(fingerprintOf("x"), at()))
+	assert.True(t, w.b.MayRetry(fpOf("x"), at()))
 	w.crash("u", "x", "beside")
-	assert.True(t, w.b.MayRetry(fingerprintOf("x"), at("u")), "its own crash")
-	assert.False(t, w.b.MayRetry(fingerprintOf("x"), at("v")), "a crash under another copy")
+	assert.True(t, w.b.MayRetry(fpOf("x"), at("u")), "its own crash")
+	assert.False(t, w.b.MayRetry(fpOf("x"), at("v")), "a crash under another copy")
 	w.now += time.Second
-	w.answered("beside")
-	assert.True(t, w.b.MayRetry(fingerprintOf("beside"), at("v")), "a response since then")
+	w.clear("beside")
+	assert.True(t, w.b.MayRetry(fpOf("beside"), at("v")), "a response since then")
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -64,7 +64,7 @@
 // send sends a request unless it is quarantined.
 func (p *simulation) send(f flight) {
 	b := p.nodes[f.node]
-	if b.Check(at(p.now), fingerprintOf(f.body)).Quarantined {
+	if b.Check(at(p.now), fpOf(f.body)).Quarantined {
 		if !isDeadly(f.body) {
 			p.rejected[f.body] = true
 		}
@@ -98,14 +98,14 @@
 	})
 	e := Crash{Upstream: fmt.Sprint("u", u), At: at(p.now)}
 	for _, f := range broken {
-		e.Fingerprint = fingerprintOf(f.body)
+		e.Fingerprint = fpOf(f.body)
 		p.nodes[f.node].ObserveCrash(at(p.now), e)
 	}
 	for _, f := range broken {
 		switch {
-		case p.nodes[f.node].Remaining(at(p.now), fingerprintOf(f.body)) > 0:
+		case p.nodes[f.node].Remaining(at(p.now), fpOf(f.body)) > 0:
 		case f.attempts < 2: // the node's own retry
-			if !p.nodes[f.node].MayRetry(fingerprintOf(f.body), func(u string) bool { return u == e.Upstream }) {
+			if !p.nodes[f.node].MayRetry(fpOf(f.body), func(u string) bool { return u == e.Upstream }) {
 				p.deniedRetries[f.body] = true
 				continue
 			}
@@ -123,7 +123,7 @@
 			continue
 		}
 		if !isDeadly(f.body) {
-			p.nodes[f.node].ObserveResponse(at(p.now), fingerprintOf(f.body))
+			p.nodes[f.node].ObserveResponse(at(p.now), fpOf(f.body))
 			p.flights = slices.DeleteFunc(p.flights, func(x *flight) bool { return x == f })
 			continue
 		}
@@ -160,7 +160,7 @@
 // cancelQuarantined withdraws requests that are quarantined by now and still wait at an upstream.
 func (p *simulation) cancelQuarantined() {
 	p.flights = slices.DeleteFunc(p.flights, func(f *flight) bool {
-		return f.endsAt > p.now+100*time.Millisecond && p.nodes[f.node].Remaining(at(p.now), fingerprintOf(f.body)) > 0
+		return f.endsAt > p.now+100*time.Millisecond && p.nodes[f.node].Remaining(at(p.now), fpOf(f.body)) > 0
 	})
 }
 
