--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -13,63 +13,64 @@
 	"spurhall.example/spurhall/internal/retry"
 )
 
-// The load that is played: callers send to each node at random, and one upstream that all of them would use names
-// a rate. Nodes tell each other what they know in rounds, are killed and start, and see that late.
+// This file simulates fleets of nodes. Callers send to each node at random, and the one upstream that all
+// nodes would use names a rate. Nodes exchange observations in rounds; they are killed and restart, and
+// the others learn of that with a delay.
 
 const (
 	playTick   = 10 * time.Millisecond
 	playRound  = 250 * time.Millisecond
 	playLasts  = 30 * time.Second
-	playKnown  = 3 * time.Second // after the first naming, from which on the rule holds
+	playKnown  = 3 * time.Second // after the upstream first names a rate; the limit is checked from then on
 	playSpan   = 4 * time.Second
-	playLate   = time.Second // until a node that is killed or starts is known to the others
+	playLate   = time.Second // until the other nodes see that a node was killed or has started
 	playAnswer = 50 * time.Millisecond
-	playDemand = 6.0                    // requests a second at each node
-	playTold   = 500 * time.Millisecond // after a process's first answer that names the rate, from when on its requests count
+	playDemand = 6.0                    // requests per second at each node
+	playGrace  = 500 * time.Millisecond // after the first response to a process that names the rate; its requests are checked from then on
 )
 
-// fleet is one play.
+// fleet is one simulation.
 type fleet struct {
-	r        *rand.Rand
-	now      time.Time
-	nodes    []*playedNode
-	arrivals []time.Time // of all
-	bound    []time.Time // of processes that the rule binds
-	refused  int
-	asked    int
-	of       retry.Lifetime
-	rate     func(at time.Duration) (float64, bool) // that the upstream names
-	began    time.Time
+	r         *rand.Rand
+	now       time.Time
+	nodes     []*playedNode
+	arrivals  []time.Time // of all processes
+	checked   []time.Time // of processes that know the rate
+	rejected  int
+	requests  int
+	of        retry.Lifetime
+	rate      func(at time.Duration) (float64, bool) // that the upstream names
+	startedAt time.Time
 }
 
 type playedNode struct {
-	name  string
-	index int
-	book  *Tracker
-	down  time.Time // when it was killed; zero: it runs
-	up    time.Time // when it started
-	told  time.Time // when its process first had an answer that names the rate
-	sends []sent    // on their way
+	name       string
+	index      int
+	tracker    *Tracker
+	killedAt   time.Time // when it was killed; zero: it is up
+	startedAt  time.Time // when it started
+	informedAt time.Time // when its process first got a response that names the rate
+	inFlight   []sent    // requests without a response so far
 }
 
 type sent struct{ at, arrives time.Time }
 
 type fleetOptions struct {
 	nodes       int
-	demand      float64 // requests a second at each node
+	demand      float64 // requests per second at each node
 	rate        func(at time.Duration) (float64, bool)
-	kills       float64 // nodes a second that are killed, and start again within 4 s
+	kills       float64 // nodes killed per second; each restarts within 4 s
 	sharerCount func(rate float64, nodes int) int
 	lost        time.Duration               // when all nodes are killed at once; 0: never
-	cut         func(at time.Duration) bool // whether the two halls don't hear each other
-	listed      bool                        // the nodes of the other hall stand in the registry in a cut
-	reached     bool                        // the upstream is reached from both halls in a cut
+	partition   func(at time.Duration) bool // whether the two halls are partitioned
+	listed      bool                        // the other hall's nodes stay in the registry during a partition
+	reached     bool                        // both halls reach the upstream during a partition
 	seed        uint64
 }
 
-// apart tells whether two nodes, of a hall each in turn, don't hear each other.
-func (o *fleetOptions) apart(at time.Duration, a, b int) bool {
-	return o.cut != nil && o.cut(at) && a%2 != b%2
+// partitioned reports whether a partition separates two nodes. Nodes alternate between the two halls.
+func (o *fleetOptions) partitioned(at time.Duration, a, b int) bool {
+	return o.partition != nil && o.partition(at) && a%2 != b%2
 }
 
 func steady(rate float64) func(time.Duration) (float64, bool) {
@@ -78,14 +79,14 @@
 
 func newFleet(o fleetOptions) *fleet {
 	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Lifetime{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
-	f.began = f.now
+	f.startedAt = f.now
 	for i := range o.nodes {
-		f.nodes = append(f.nodes, &playedNode{name: fmt.Sprint("n", i), index: i, book: f.book(o, i)})
+		f.nodes = append(f.nodes, &playedNode{name: fmt.Sprint("n", i), index: i, tracker: f.newTracker(o, i)})
 	}
 	return f
 }
 
-func (f *fleet) book(o fleetOptions, i int) *Tracker {
+func (f *fleet) newTracker(o fleetOptions, i int) *Tracker {
 	b := NewTracker(fmt.Sprint("n", i))
 	b.SetNodes(nil, nil)
 	if o.sharerCount != nil {
@@ -94,29 +95,29 @@
 	return b
 }
 
-func (n *playedNode) runs() bool { return n.down.IsZero() }
+func (n *playedNode) up() bool { return n.killedAt.IsZero() }
 
-// playListed is how long a node that is killed stands in the registry.
+// playListed is how long a node that was killed stays in the registry.
 const playListed = 6 * time.Second
 
-// seen tells whether others take a node for one that runs: those that read the registry, or those that hear it.
+// seen reports whether others take a node as up, by the registry or by its updates.
 func (n *playedNode) seen(now time.Time, registry bool) bool {
 	if registry {
-		return n.runs() || now.Sub(n.down) < playListed
+		return n.up() || now.Sub(n.killedAt) < playListed
 	}
-	if n.runs() {
-		return now.Sub(n.up) > playLate
+	if n.up() {
+		return now.Sub(n.startedAt) > playLate
 	}
-	return now.Sub(n.down) < playLate
+	return now.Sub(n.killedAt) < playLate
 }
 
 func (f *fleet) play(o fleetOptions) {
-	for f.now.Sub(f.began) < playLasts {
+	for f.now.Sub(f.startedAt) < playLasts {
 		f.now = f.now.Add(playTick)
 		f.churn(o)
-		round := f.now.Sub(f.began)%playRound == 0
+		round := f.now.Sub(f.startedAt)%playRound == 0
 		for _, n := range f.nodes {
-			if n.runs() {
+			if n.up() {
 				f.step(o, n, round)
 			}
 		}
@@ -126,68 +127,68 @@
 func (f *fleet) churn(o fleetOptions) {
 	for i, n := range f.nodes {
 		switch {
-		case !n.runs() && f.now.Sub(n.down) > time.Duration(1+f.r.IntN(3))*time.Second:
-			*n = playedNode{name: n.name, index: i, book: f.book(o, i), up: f.now}
-		case n.runs() && o.lost > 0 && f.now.Sub(f.began) == o.lost:
-			n.down = f.now
-		case n.runs() && f.r.Float64() < o.kills*playTick.Seconds()/float64(len(f.nodes)):
-			n.down = f.now
+		case !n.up() && f.now.Sub(n.killedAt) > time.Duration(1+f.r.IntN(3))*time.Second:
+			*n = playedNode{name: n.name, index: i, tracker: f.newTracker(o, i), startedAt: f.now}
+		case n.up() && o.lost > 0 && f.now.Sub(f.startedAt) == o.lost:
+			n.killedAt = f.now
+		case n.up() && f.r.Float64() < o.kills*playTick.Seconds()/float64(len(f.nodes)):
+			n.killedAt = f.now
 		}
 	}
 }
 
 func (f *fleet) step(o fleetOptions, n *playedNode, round bool) {
 	if round {
-		f.swap(o, n)
+		f.exchange(o, n)
 	}
-	for len(n.sends) > 0 && !n.sends[0].arrives.After(f.now) {
-		if rate, named := f.rate(f.now.Sub(f.began)); named {
-			n.book.ObserveRate(f.now, n.sends[0].at, f.of, rate)
-			if n.told.IsZero() {
-				n.told = f.now
+	for len(n.inFlight) > 0 && !n.inFlight[0].arrives.After(f.now) {
+		if rate, named := f.rate(f.now.Sub(f.startedAt)); named {
+			n.tracker.ObserveRate(f.now, n.inFlight[0].at, f.of, rate)
+			if n.informedAt.IsZero() {
+				n.informedAt = f.now
 			}
 		} else {
-			n.book.ObserveNoRate(f.now, n.sends[0].at, f.of)
+			n.tracker.ObserveNoRate(f.now, n.inFlight[0].at, f.of)
 		}
-		n.sends = n.sends[1:]
+		n.inFlight = n.inFlight[1:]
 	}
 	for range poisson(f.r, o.demand*playTick.Seconds()) {
-		f.asked++
-		if n.book.Wait(f.now, f.of, false) > 0 {
-			f.refused++
+		f.requests++
+		if n.tracker.Wait(f.now, f.of, false) > 0 {
+			f.rejected++
 			continue
 		}
-		n.book.Take(f.now, f.of, false)
-		if !o.reached && o.apart(f.now.Sub(f.began), n.index, 0) {
-			n.book.Return(f.of)
+		n.tracker.Take(f.now, f.of, false)
+		if !o.reached && o.partitioned(f.now.Sub(f.startedAt), n.index, 0) {
+			n.tracker.Return(f.of)
 			continue // the upstream is in the first node's hall
 		}
 		f.arrivals = append(f.arrivals, f.now)
-		if !n.told.IsZero() && f.now.Sub(n.told) >= playTold {
-			f.bound = append(f.bound, f.now)
+		if !n.informedAt.IsZero() && f.now.Sub(n.informedAt) >= playGrace {
+			f.checked = append(f.checked, f.now)
 		}
-		n.sends = append(n.sends, sent{f.now, f.now.Add(playAnswer)})
+		n.inFlight = append(n.inFlight, sent{f.now, f.now.Add(playAnswer)})
 	}
 }
 
-// swap tells a node what another one knows, and which ones there are.
-func (f *fleet) swap(v fleetOptions, n *playedNode) {
-	if !v.listed && !n.up.IsZero() && f.now.Sub(n.up) <= playLate {
-		n.book.SetNodes(nil, nil) // it has just begun, and can't know who else there is
+// exchange gives a node the observations of other nodes and the list of nodes.
+func (f *fleet) exchange(v fleetOptions, n *playedNode) {
+	if !v.listed && !n.startedAt.IsZero() && f.now.Sub(n.startedAt) <= playLate {
+		n.tracker.SetNodes(nil, nil) // it has just started and cannot know other nodes yet
 		return
 	}
 	names := []string{n.name}
-	at := f.now.Sub(f.began)
+	at := f.now.Sub(f.startedAt)
 	for _, o := range f.nodes {
-		if o != n && o.seen(f.now, v.listed) && (v.listed || !v.apart(at, n.index, o.index)) {
+		if o != n && o.seen(f.now, v.listed) && (v.listed || !v.partitioned(at, n.index, o.index)) {
 			names = append(names, o.name)
 		}
 	}
-	n.book.SetNodes(names, nil)
+	n.tracker.SetNodes(names, nil)
 	for range min(len(f.nodes)-1, 12) {
 		o := f.nodes[f.r.IntN(len(f.nodes))]
-		if o.runs() && !v.apart(at, n.index, o.index) {
-			n.book.Merge(f.now, o.book.Observations(f.now))
+		if o.up() && !v.partitioned(at, n.index, o.index) {
+			n.tracker.Merge(f.now, o.tracker.Observations(f.now))
 		}
 	}
 }
@@ -200,11 +201,11 @@
 	return n
 }
 
-// most returns the most arrivals in a span once the rule holds.
+// most returns the most arrivals in any span after playKnown.
 func (f *fleet) most(list []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range list {
-		if at.Sub(f.began) < playKnown {
+		if at.Sub(f.startedAt) < playKnown {
 			first = i + 1
 			continue
 		}
@@ -216,11 +217,11 @@
 	return most
 }
 
-// used is the share of a rate that was used once the rule holds.
+// used returns the share of a rate that was used after playKnown.
 func (f *fleet) used(rate float64) float64 {
 	n := 0
 	for _, at := range f.arrivals {
-		if at.Sub(f.began) >= playKnown {
+		if at.Sub(f.startedAt) >= playKnown {
 			n++
 		}
 	}
@@ -229,7 +230,7 @@
 
 func allowed(rate float64, span time.Duration) int { return int(1.5*rate*span.Seconds()) + 5 }
 
-// seeds is how many plays a case has; more are played by hand.
+// seeds returns how many seeds a test runs. SEEDS sets another number.
 func seeds(t *testing.T, usual int) int {
 	t.Helper()
 	if v, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -238,14 +239,15 @@
 	return usual
 }
 
-// TestFleetsKeepToLimits plays fleets, rates and kills: what the rule allows is never exceeded, and nine
-// tenths of the rate are used where callers want several times as much.
-func TestFleetsKeepToLimits(t *testing.T) {
+// TestFleetsStayWithinLimits simulates fleets with several rates, with and without kills: the requests
+// never exceed what is allowed, and nine tenths of the rate are used if callers send several times as
+// much.
+func TestFleetsStayWithinLimits(t *testing.T) {
 	for _, nodes := range []int{1, 3, 6, 12, 70, 419} {
 		for _, rate := range []float64{0.3, 1.2, 4, 25, 500} {
 			for _, kills := range []float64{0, 0.2} {
 				if nodes > 100 && os.Getenv("SEEDS") == "" && (kills > 0 || rate != 1.2) {
-					continue // by hand
+					continue // only with SEEDS set
 				}
 				t.Run(fmt.Sprintf("%d nodes/%v a second/%v killed", nodes, rate, kills), func(t *testing.T) {
 					t.Parallel()
@@ -255,10 +257,10 @@
 						o := fleetOptions{nodes: nodes, demand: playDemand, rate: steady(rate), kills: kills, seed: uint64(seed)}
 						f := newFleet(o)
 						f.play(o)
-						most, all = max(most, f.most(f.bound, playSpan)), max(all, f.most(f.arrivals, playSpan))
+						most, all = max(most, f.most(f.checked, playSpan)), max(all, f.most(f.arrivals, playSpan))
 						used += f.used(rate) / float64(n)
 					}
-					t.Logf("%d nodes, %v a second, %v killed: most %d of %d (%d with processes that don't know yet), used %.2f", nodes, rate, kills, most, allowed(rate, playSpan), all, used)
+					t.Logf("%d nodes, %v a second, %v killed: most %d of %d (%d with processes that do not know the rate yet), used %.2f", nodes, rate, kills, most, allowed(rate, playSpan), all, used)
 					assert.LessOrEqual(t, most, allowed(rate, playSpan))
 					if kills == 0 && float64(nodes)*playDemand > 4*rate {
 						assert.GreaterOrEqual(t, used, 0.9)
@@ -269,34 +271,35 @@
 	}
 }
 
-// changing is a rate that changes over a play; 0: none is named.
+// changing is a rate that changes during a simulation; 0: none is named.
 type changing func(at time.Duration) float64
 
 func (c changing) named(at time.Duration) (float64, bool) { r := c(at); return r, r > 0 }
 
-// over returns by how many the requests of some span exceed what the rates in it allow; spans in which none was
-// named for a moment, or that begin before the first naming was known, don't count.
+// over returns by how much the requests of any span exceed what the rates in it allow. Spans in which no
+// rate was named for a moment, or that start before playKnown, do not count.
 func (f *fleet) over(c changing) float64 {
 	worst, first := 0.0, 0
-	for i, at := range f.bound {
-		for at.Sub(f.bound[first]) >= playSpan {
+	for i, at := range f.checked {
+		for at.Sub(f.checked[first]) >= playSpan {
 			first++
 		}
-		from := max(playKnown, at.Sub(f.began)-playSpan)
+		from := max(playKnown, at.Sub(f.startedAt)-playSpan)
 		sum, counts := 0.0, true
-		for t := from; t < at.Sub(f.began); t += playTick {
+		for t := from; t < at.Sub(f.startedAt); t += playTick {
 			r, named := c.named(t - playAnswer - playRound) // as the nodes know it by then
 			sum += r * playTick.Seconds()
 			counts = counts && named
 		}
-		if counts && f.bound[first].Sub(f.began) >= from {
+		if counts && f.checked[first].Sub(f.startedAt) >= from {
 			worst = max(worst, float64(i-first+1)-1.5*sum-5)
 		}
 	}
 	return worst
 }
 
-// TestFleetsWhereRatesChange: a rate that falls, rises, or comes and goes is kept to as it is.
+// TestFleetsWhereRatesChange: the limit is kept while the rate falls, rises, or is lifted and named
+// again.
 func TestFleetsWhereRatesChange(t *testing.T) {
 	for name, c := range map[string]changing{
 		"falls": func(at time.Duration) float64 {
@@ -311,13 +314,13 @@
 			}
 			return 20
 		},
-		"falls and rises each second": func(at time.Duration) float64 {
+		"falls and rises every second": func(at time.Duration) float64 {
 			if at.Seconds() == 0 || int(at.Seconds())%2 == 0 {
 				return 8
 			}
 			return 1
 		},
-		"comes and goes each three seconds": func(at time.Duration) float64 {
+		"is lifted and named again every three seconds": func(at time.Duration) float64 {
 			if int(at.Seconds()/3)%2 == 0 {
 				return 2
 			}
@@ -339,7 +342,7 @@
 								n++
 							}
 						}
-						assert.Greater(t, float64(n), 0.0, "it is used at the end")
+						assert.Greater(t, float64(n), 0.0, "the rate is used at the end")
 					}
 				}
 			})
@@ -347,13 +350,12 @@
 	}
 }
 
-// playHard plays a case at fleets and rates, some seeds each, and calls f with the most requests in a span, of
-// processes that the rule binds and of all, and the share used.
+// playHard runs a simulation with several fleets and rates, and calls f with each result.
 func playHard(t *testing.T, o fleetOptions, f func(t *testing.T, played *fleet, rate float64)) {
 	for _, nodes := range []int{12, 70, 419} {
 		for _, rate := range []float64{0.3, 1.2, 4, 25} {
 			if nodes > 100 && os.Getenv("SEEDS") == "" && (rate != 4 || o.lost == 0) {
-				continue // by hand
+				continue // only with SEEDS set
 			}
 			t.Run(fmt.Sprintf("%d nodes/%v a second", nodes, rate), func(t *testing.T) {
 				t.Parallel()
@@ -362,8 +364,8 @@
 					v.nodes, v.demand, v.rate, v.seed = nodes, playDemand, steady(rate), uint64(seed)
 					p := newFleet(v)
 					p.play(v)
-					t.Logf("%d nodes, %v a second, seed %d: most %d of %d (%d of all), used %.2f",
-						nodes, rate, seed, p.most(p.bound, playSpan), allowed(rate, playSpan), p.most(p.arrivals, playSpan), p.used(rate))
+					t.Logf("%d nodes, %v a second, seed %d: most %d of %d (%d from all processes), used %.2f",
+						nodes, rate, seed, p.most(p.checked, playSpan), allowed(rate, playSpan), p.most(p.arrivals, playSpan), p.used(rate))
 					f(t, p, rate)
 				}
 			})
@@ -371,70 +373,73 @@
 	}
 }
 
-// between tells whether a moment is in a span.
+// between returns a function that reports whether a moment is in a span.
 func between(from, until time.Duration) func(time.Duration) bool {
 	return func(at time.Duration) bool { return at >= from && at < until }
 }
 
-// TestFleetsLostAtOnce: all processes end at the same moment, and nobody remembers. Those that begin come to the
-// rate as soon as one of them has had an answer that names it. They know each other by the registry, or, while the
-// store is away, once they have heard of each other: until then none has a share.
+// TestFleetsLostAtOnce: all processes are killed at the same moment, so no node remembers the rate. The
+// new processes keep to it again as soon as one of them gets a response that names it. They know each
+// other from the registry or, while the store is unavailable, from each other's updates; until then no
+// node has a share.
 func TestFleetsLostAtOnce(t *testing.T) {
-	for name, listed := range map[string]bool{"the store answers": true, "the store is away": false} {
+	for name, listed := range map[string]bool{"the store is available": true, "the store is unavailable": false} {
 		t.Run(name, func(t *testing.T) {
 			playHard(t, fleetOptions{lost: 12 * time.Second, listed: listed, reached: true}, func(t *testing.T, p *fleet, rate float64) {
-				assert.LessOrEqual(t, p.most(p.bound, playSpan), allowed(rate, playSpan))
-				assert.Greater(t, p.used(rate), 0.8, "some of 27 seconds are lost with the processes")
+				assert.LessOrEqual(t, p.most(p.checked, playSpan), allowed(rate, playSpan))
+				assert.Greater(t, p.used(rate), 0.8, "the restart takes some of the 27 seconds")
 			})
 		})
 	}
 }
 
-// TestFleetsCutBetweenHalls: the halls don't hear each other. Where both reach the upstream, both reach the store
-// as a rule, whose registry has the other hall's nodes: the shares stay. Where one hall alone reaches it, its
-// shares are enough for the rule, and the others' are unused until their nodes aren't listed any more.
-func TestFleetsCutBetweenHalls(t *testing.T) {
+// TestFleetsPartitioned: the halls do not reach each other. If both reach the upstream, both usually
+// reach the store, too, whose registry lists the other hall's nodes: the shares stay as they are. If only
+// one hall reaches the upstream, its shares stay within the limit, and those of the other hall are unused
+// until its nodes are no longer listed.
+func TestFleetsPartitioned(t *testing.T) {
 	kept := func(t *testing.T, p *fleet, rate float64) {
-		assert.LessOrEqual(t, p.most(p.bound, playSpan), allowed(rate, playSpan))
+		assert.LessOrEqual(t, p.most(p.checked, playSpan), allowed(rate, playSpan))
 	}
-	cut := between(10*time.Second, 20*time.Second)
-	t.Run("both reach the upstream, and stand in the registry", func(t *testing.T) {
-		playHard(t, fleetOptions{cut: cut, listed: true, reached: true}, func(t *testing.T, p *fleet, rate float64) {
+	partition := between(10*time.Second, 20*time.Second)
+	t.Run("both halls reach the upstream and stay in the registry", func(t *testing.T) {
+		playHard(t, fleetOptions{partition: partition, listed: true, reached: true}, func(t *testing.T, p *fleet, rate float64) {
 			kept(t, p, rate)
 			assert.Greater(t, p.used(rate), 0.9)
 		})
 	})
-	t.Run("one hall reaches it, and takes the others for gone", func(t *testing.T) {
-		playHard(t, fleetOptions{cut: cut}, func(t *testing.T, p *fleet, rate float64) {
+	t.Run("one hall reaches it, the other hall's nodes are not listed", func(t *testing.T) {
+		playHard(t, fleetOptions{partition: partition}, func(t *testing.T, p *fleet, rate float64) {
 			kept(t, p, rate)
 			assert.Greater(t, p.used(rate), 0.9)
 		})
 	})
-	t.Run("one hall reaches it, while all stand in the registry", func(t *testing.T) {
-		playHard(t, fleetOptions{cut: cut, listed: true}, kept)
+	t.Run("one hall reaches it, all nodes stay in the registry", func(t *testing.T) {
+		playHard(t, fleetOptions{partition: partition, listed: true}, kept)
 	})
 }
 
-// secondMost is what a second may have: the rate, and a request for each of three halls.
-func secondMost(rate float64) int { return int(rate) + 3 }
+// maxPerSecond is the most requests that may arrive in one second: the rate, and one request for each of
+// three halls.
+func maxPerSecond(rate float64) int { return int(rate) + 3 }
 
-// TestFleetsInOneSecond: an upstream in need isn't met by bursts either.
+// TestFleetsInOneSecond guards an overloaded upstream against bursts.
 func TestFleetsInOneSecond(t *testing.T) {
 	playHard(t, fleetOptions{reached: true}, func(t *testing.T, p *fleet, rate float64) {
 		if rate > 10 {
 			t.Skip("TestFleetsInOneSecondAtHighRates")
 		}
-		assert.LessOrEqual(t, p.most(p.bound, time.Second), secondMost(rate))
+		assert.LessOrEqual(t, p.most(p.checked, time.Second), maxPerSecond(rate))
 	})
 }
 
-// TestFleetsInOneSecondAtHighRates: many nodes share such a rate, and each may have saved up a request.
+// TestFleetsInOneSecondAtHighRates: many nodes share a high rate, and each may have saved up a request.
 func TestFleetsInOneSecondAtHighRates(t *testing.T) {
 	for _, nodes := range []int{12, 70} {
 		const rate = 25.0
 		o := fleetOptions{nodes: nodes, demand: playDemand, rate: steady(rate)}
 		f := newFleet(o)
 		f.play(o)
-		assert.LessOrEqual(t, f.most(f.bound, time.Second), secondMost(rate), "%d nodes", nodes)
+		assert.LessOrEqual(t, f.most(f.checked, time.Second), maxPerSecond(rate), "%d nodes", nodes)
 	}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -19,7 +19,7 @@
 
 func after(d time.Duration) time.Time { return at.Add(d) }
 
-// assertRate checks what a book takes an upstream's rate to be; 0: none is named.
+// assertRate checks the rate that a tracker holds for an upstream; 0: none is named.
 func assertRate(t *testing.T, b *Tracker, now time.Time, of retry.Lifetime, want float64) {
 	t.Helper()
 	rate, named := b.Rate(now, of)
@@ -27,28 +27,28 @@
 	assert.InDelta(t, want, rate, 1e-9)
 }
 
-func TestNamed(t *testing.T) {
-	t.Run("until it isn't any more", func(t *testing.T) {
+func TestObserveRate(t *testing.T) {
+	t.Run("until it is lifted", func(t *testing.T) {
 		b := NewTracker("a")
 		assert.True(t, b.ObserveRate(at, at, one, 2))
-		assert.False(t, b.ObserveRate(at, at, one, 2), "no news")
+		assert.False(t, b.ObserveRate(at, at, one, 2), "no change")
 		assertRate(t, b, at, one, 2)
 		assertRate(t, b, at, retry.Lifetime{ID: "u", Born: 2}, 0)
 		assert.True(t, b.ObserveNoRate(after(2), after(1), one))
 		assertRate(t, b, after(2), one, 0)
 		assert.Zero(t, b.Wait(after(2), one, false))
-		assert.False(t, b.ObserveNoRate(after(3), after(3), one), "no news")
+		assert.False(t, b.ObserveNoRate(after(3), after(3), one), "no change")
 	})
-	t.Run("an answer that was overtaken allows nothing", func(t *testing.T) {
+	t.Run("a response that was overtaken does not raise the limit", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(after(time.Second), at, one, 2)
-		assert.False(t, b.ObserveNoRate(after(2*time.Second), after(time.Second-1), one), "its request was sent before")
+		assert.False(t, b.ObserveNoRate(after(2*time.Second), after(time.Second-1), one), "its request was sent earlier")
 		assert.False(t, b.ObserveRate(after(2*time.Second), after(time.Second-1), one, 3))
 		assertRate(t, b, after(2*time.Second), one, 2)
-		assert.True(t, b.ObserveRate(after(2*time.Second), at, one, 1), "one that allows less holds at once")
+		assert.True(t, b.ObserveRate(after(2*time.Second), at, one, 1), "a lower rate holds at once")
 		assert.True(t, b.ObserveRate(after(4*time.Second), after(3*time.Second), one, 3))
 	})
-	t.Run("what can't be a rate", func(t *testing.T) {
+	t.Run("invalid rates", func(t *testing.T) {
 		b := NewTracker("a")
 		for _, r := range []float64{-1, math.NaN(), math.Inf(1)} {
 			assert.False(t, b.ObserveRate(at, at, one, r))
@@ -57,20 +57,20 @@
 		assert.True(t, b.ObserveRate(at, at, one, math.MaxFloat64))
 		assert.Less(t, b.Wait(at, one, false), time.Millisecond)
 	})
-	t.Run("one that takes nothing is asked now and then", func(t *testing.T) {
+	t.Run("an upstream with rate 0 gets a request now and then", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(at, at, one, 0)
 		assert.Equal(t, 10*time.Second, b.Wait(at, one, false))
 		assert.Zero(t, b.Wait(after(10*time.Second), one, false))
 	})
-	t.Run("what no answer renews is over", func(t *testing.T) {
+	t.Run("an observation that no response renews expires", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(at, at, one, 2)
 		assertRate(t, b, after(observationTTL), one, 2)
 		assertRate(t, b, after(observationTTL+1), one, 0)
 		assert.Empty(t, b.Observations(after(observationTTL+1)))
 	})
-	t.Run("only so many are remembered", func(t *testing.T) {
+	t.Run("the observations are bounded", func(t *testing.T) {
 		b := NewTracker("a")
 		for i := range 2 * maxObservations {
 			b.ObserveRate(after(time.Duration(i)), at, retry.Lifetime{ID: fmt.Sprint(i)}, 1)
@@ -80,15 +80,15 @@
 	})
 }
 
-func TestHear(t *testing.T) {
-	t.Run("the newest holds", func(t *testing.T) {
+func TestMerge(t *testing.T) {
+	t.Run("the latest observation holds", func(t *testing.T) {
 		b := NewTracker("a")
 		assert.Len(t, b.Merge(after(1), []Observation{{Upstream: one, Rate: 2, At: at}}), 1)
 		assert.Empty(t, b.Merge(after(1), []Observation{{Upstream: one, Rate: 3, At: at}, {Upstream: one, Lifted: true, At: at.Add(-1)}}))
 		assert.Len(t, b.Merge(after(2), []Observation{{Upstream: one, Lifted: true, At: after(1)}}), 1)
 		assertRate(t, b, after(2), one, 0)
 	})
-	t.Run("a word that goes in a circle grows old", func(t *testing.T) {
+	t.Run("an observation forwarded in a circle expires", func(t *testing.T) {
 		x, y := NewTracker("x"), NewTracker("y")
 		x.ObserveRate(at, at, one, 2)
 		now := at
@@ -106,7 +106,7 @@
 		}
 		assertRate(t, x, now, one, 0)
 	})
-	t.Run("what isn't known needn't be lifted, and nothing is of a time to come", func(t *testing.T) {
+	t.Run("unknown rates cannot be lifted, and times in the future are ignored", func(t *testing.T) {
 		b := NewTracker("a")
 		assert.Empty(t, b.Merge(at, []Observation{{Upstream: one, Lifted: true, At: at}, {Upstream: one, Rate: 1, At: after(1)}, {Rate: 1, At: at}}))
 		assert.Empty(t, b.Observations(at))
@@ -114,7 +114,7 @@
 }
 
 func TestShare(t *testing.T) {
-	t.Run("begins with nothing, and saves up little", func(t *testing.T) {
+	t.Run("starts with nothing, and saves up little", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(at, at, one, 2)
 		assert.Equal(t, 500*time.Millisecond, b.Wait(at, one, false))
@@ -126,7 +126,7 @@
 		}
 		assert.Equal(t, 500*time.Millisecond, b.Wait(now, one, false))
 		b.Return(one)
-		assert.Zero(t, b.Wait(now, one, false), "what wasn't sent costs nothing")
+		assert.Zero(t, b.Wait(now, one, false), "a request that was not sent costs nothing")
 	})
 	t.Run("nothing saved up outlasts the limit", func(t *testing.T) {
 		b := NewTracker("a")
@@ -138,18 +138,18 @@
 		b.ObserveRate(now, now, one, 1)
 		assert.Equal(t, time.Second, b.Wait(now, one, false))
 	})
-	t.Run("a share that moves isn't used twice", func(t *testing.T) {
+	t.Run("a share that moves is not used twice", func(t *testing.T) {
 		b := NewTracker("a")
 		b.ObserveRate(at, at, one, 1)
 		assert.Equal(t, time.Second, b.Wait(at, one, false))
 		assert.Zero(t, b.Wait(after(time.Minute), one, false))
 		other := otherAhead(b)
 		b.SetNodes([]string{"a", other}, nil)
-		assert.Positive(t, b.Wait(after(time.Minute), one, false), "the other one has it")
+		assert.Positive(t, b.Wait(after(time.Minute), one, false), "the other node has it")
 		b.SetNodes([]string{"a"}, nil)
 		assert.Equal(t, time.Second, b.Wait(after(time.Minute), one, false))
 	})
-	t.Run("engines' are shared by those that place there", func(t *testing.T) {
+	t.Run("the rates of engines are shared by the placers", func(t *testing.T) {
 		b := NewTracker("a")
 		b.SetNodes([]string{"a", "b"}, []string{"b"})
 		b.ObserveRate(at, at, one, 100)
@@ -160,7 +160,7 @@
 	})
 }
 
-// otherAhead returns a node that comes before a book's own.
+// otherAhead returns the name of a node that ranks before a tracker's own.
 func otherAhead(b *Tracker) string {
 	for i := 0; ; i++ {
 		if n := fmt.Sprint("n", i); weight(one, n) > weight(one, b.self) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// TestSharesAddUp: nodes that see the same nodes share the rate, all of it and no more.
+// TestSharesAddUp: nodes that know the same nodes share the whole rate and no more.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "nodes")
