--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,125 +1,124 @@
-// Package quota holds the workspaces to their token quotas over all nodes together.
+// Package quota enforces the workspaces' token quotas over all nodes together.
 //
-// Each node runs the whole token bucket by itself and takes in what the others report
-// to have charged. Between two reports nodes don't see each other, so a node doesn't
-// spend the whole level but a share of it, as large as its share of the workspace's use
-// up to the last report. While the bucket is more than half full a node may spend more: such a
-// workspace is far below its quota, and refusing a large request because this node is
-// entitled to a sixth of the level would be wrong.
+// Each node runs the complete token bucket by itself and applies what the other nodes report to have
+// charged. Between two reports nodes do not see each other's charges, so a node does not spend the whole
+// level but a share of it, in proportion to its share of the workspace's use up to the last report. While
+// the bucket is more than half full a node may spend more: such a workspace is far below its quota, and
+// rejecting a large request because this node is entitled to a sixth of the level would be wrong.
 //
-// A node that falls silent may be dead, or alive and cut off, charging on. It is taken
-// to charge its even share all the time; and since those on the other side take the
-// same of this node, the sum holds on both sides of a cut without a word between them.
-// When it is heard again, what it did charge takes the place of the guess.
+// A node that stops reporting may be down, or up behind a partition and still charging. It is assumed to
+// charge its even share all the time. Since the nodes on the other side of a partition assume the same of
+// this node, the sum holds on both sides without communication. When the node reports again, what it
+// really charged replaces the assumption.
 //
-// A process that starts knows neither what was charged a moment ago nor how many share the
-// bucket. It begins with the level that was written down last, or with a part of the burst, assumes many nodes until it has been told them,
-// and entitles itself only to the part of the nodes that it has heard. What a peer charged
-// before it was first heard counts, unless the peer is older than this process: then the
-// part of the burst stands for it.
+// A process that starts knows neither what was charged a moment ago nor how many nodes share the bucket.
+// It starts with the last stored level or with a part of the burst, assumes many nodes until SetPeers
+// names them, and entitles itself only to the share of the nodes that have reported to it. What a peer
+// charged before its first report counts, unless the peer is older than this process: then the initial
+// level accounts for it.
 //
-// A request is let in while the level is positive, and may overdraw it. Asking for the
-// whole charge first, as an earlier version did, lets small requests keep the level low
-// forever, and the large ones of a busy workspace never get in.
+// A request is admitted while the level is positive, and may overdraw it. Requiring the whole charge up
+// front would let small requests keep the level low forever, and the large ones of a busy workspace would
+// never be admitted.
 //
-// Weighed: fixed shares (a workspace whose callers meet one node would get a sixth of
-// its quota), a counter in the store (a write a request), leases of tokens handed out
-// by one node (a second path to fail, and it has to be found after a cut).
+// Alternatives considered: fixed shares (of six nodes, a workspace whose callers meet only one would get
+// a sixth of its quota); a counter in the store (a write per request); leases of tokens handed out by one
+// node (a second path that can fail, and that node has to be found again after a partition).
 package quota
 
 import (
 	"time"
 )
 
-// Limit is one workspace's quota.
+// Limit is the quota of one workspace.
 type Limit struct {
-	Rate  float64 // tokens a second over all nodes; 0: no limit
+	Rate  float64 // tokens per second over all nodes; 0: no limit
 	Burst float64
 }
 
 const (
-	// smallRequest is the part of the burst up to which a request counts as small, and
-	// smallDebt how far the small ones may overdraw the bucket: a plain call is charged a
-	// thousandth of what a long prompt is, and refusing it saves nothing.
-	smallRequest = 0.005
-	smallDebt    = 0.05
-	// refillShare is the part of the burst that is to be there again when a refused caller
-	// comes back.
-	refillShare = 0.02
-	// silentRounds is the number of spans without a report after which a node counts as cut
-	// off: two missed, and some delay.
-	silentRounds = 2.8
-	// useHalf is the time over which recent use counts half.
-	useHalf = 2 * time.Second
-	// calmLevel is the part of the burst above which shares don't bind.
-	calmLevel = 0.5
-	// calmSpend is the part of the burst that a node may spend of such a bucket between
-	// two reports; a first request may be larger.
-	calmSpend = 0.3
-	// unknownNodes is the number of nodes that are assumed until a process knows the others:
-	// the first tenths of a second of its life.
-	unknownNodes = 16
-	// sameAge is how much older a process may be that was started by the same event.
-	sameAge = time.Second
-	// leastShare is a node's least part of the level, over the even share.
-	leastShare = 0.5
+	// smallRequest is the part of the burst up to which a request counts as small, and smallOverdraft how
+	// far small requests may overdraw the bucket: a plain call is charged a thousandth of a long prompt,
+	// and rejecting it saves nothing.
+	smallRequest   = 0.005
+	smallOverdraft = 0.05
+	// retryRefill is the part of the burst that has to be refilled before a rejected caller retries.
+	retryRefill = 0.02
+	// unresponsiveRounds is the number of rounds without a report after which a node counts as
+	// partitioned off: two missed ones, and some delay.
+	unresponsiveRounds = 2.8
+	// recentUseTime is the time constant with which recent use decays: over a single round of that length
+	// it halves.
+	recentUseTime = 2 * time.Second
+	// unsharedLevel is the part of the burst above which shares do not apply.
+	unsharedLevel = 0.5
+	// unsharedSpend is the part of the burst that a node may spend between two reports while shares do
+	// not apply. A first request may be larger.
+	unsharedSpend = 0.3
+	// assumedNodes is the number of nodes assumed until a process knows the others, which takes the first
+	// tenths of a second after its start.
+	assumedNodes = 16
+	// startTolerance is how much older a process may be that was started by the same event.
+	startTolerance = time.Second
+	// minShare is a node's smallest share of the level, relative to the even share.
+	minShare = 0.5
 )
 
 type peer struct {
-	lifetime string
-	began    time.Time // the process, as near as its reports tell
-	sequence uint64    // of its last report
-	heard    time.Time
-	silent   bool
-	charged  map[string]float64 // as last reported by that lifetime
-	assumed  map[string]float64 // taken off for its silence
-	recent   map[string]float64
-	lost     map[string]float64 // of the buckets, when it was last heard
+	incarnation  string
+	startedAt    time.Time // of the process, as estimated from its reports
+	sequence     uint64    // of its last report
+	lastSeen     time.Time
+	unresponsive bool
+	charged      map[string]float64 // as last reported by that incarnation
+	assumed      map[string]float64 // deducted while it did not report
+	recent       map[string]float64
+	overflow     map[string]float64 // bucket.overflow at its last report
 }
 
 type bucket struct {
-	limit   Limit
-	level   float64
-	updated time.Time
-	spent   float64 // by this node since the last round
-	charged float64 // by this node in all
-	recent  float64
-	began   time.Time // when this process first knew it
-	first   float64   // its level then
-	lost    float64   // refill that found it full, and no late use to make good for
+	limit        Limit
+	level        float64
+	updated      time.Time
+	spent        float64 // by this node in this round
+	charged      float64 // by this node since its process started
+	recent       float64
+	createdAt    time.Time // when this process created it
+	initialLevel float64   // its level then
+	overflow     float64   // refill that found the bucket full and has not been credited against late reports
 }
 
-// Quotas is the buckets of all workspaces at one node. It isn't safe for concurrent use.
+// Quotas holds the buckets of all workspaces at one node. It isn't safe for concurrent use.
 type Quotas struct {
-	buckets map[string]*bucket
-	peers   map[string]*peer
-	full    bool // new buckets start full
-	began   time.Time
-	named   bool // the other nodes are known
-	round   time.Time
+	buckets    map[string]*bucket
+	peers      map[string]*peer
+	startFull  bool // new buckets start full
+	startedAt  time.Time
+	peersKnown bool // SetPeers has named the other nodes
+	roundStart time.Time
 
-	recalled map[string]recalled // by workspace
-	gone     map[string]*peer    // nodes that were taken off the list, as they were last heard
+	restored map[string]restoredLevel // by workspace
+	removed  map[string]*peer         // nodes that are no longer listed, in the state of their last report
 }
 
-// restartLevel is the part of the burst that a process begins with which does not start
-// with the whole system. It can't know what was charged a moment ago; starting empty
-// refused callers far below their quotas after each kill of all processes.
+// restartLevel is the part of the burst with which a bucket starts in a process that does not start
+// together with the whole system. The process cannot know what was charged a moment ago, but an empty
+// bucket would reject callers far below their quotas after all processes were killed.
 const restartLevel = 0.25
 
-// New returns quotas. A node that starts with the whole system starts with full
-// buckets.
+// New returns quotas without buckets. first says that the node starts together with the whole system,
+// which makes buckets start full.
 func New(now time.Time, first bool) *Quotas {
-	return &Quotas{buckets: make(map[string]*bucket), peers: make(map[string]*peer), gone: make(map[string]*peer), full: first, began: now, round: now}
+	return &Quotas{buckets: make(map[string]*bucket), peers: make(map[string]*peer), removed: make(map[string]*peer), startFull: first, startedAt: now, roundStart: now}
 }
 
-// SetLimits takes in the quotas in force.
+// SetLimits sets the quotas in force.
 func (q *Quotas) SetLimits(now time.Time, limits map[string]Limit) {
 	for n, l := range limits {
 		b := q.buckets[n]
 		if b == nil {
-			b = &bucket{updated: now, began: now, first: q.first(now, n, l)}
-			b.level = b.first
+			b = &bucket{updated: now, createdAt: now, initialLevel: q.initialLevel(now, n, l)}
+			b.level = b.initialLevel
 			q.buckets[n] = b
 		}
 		q.refill(now, b)
@@ -142,63 +141,62 @@
 	b.fill(b.limit.Rate * d)
 }
 
-// fill puts tokens into a bucket, as far as it has room.
+// fill adds tokens to a bucket, as far as it has room.
 func (b *bucket) fill(tokens float64) {
 	b.level += tokens
 	if over := b.level - b.limit.Burst; over > 0 {
 		b.level -= over
-		b.lost += over
+		b.overflow += over
 	}
 }
 
-// drain takes off what a node has charged in the time since it was last heard. If that was
-// long ago, the refill of that time that found the bucket full would have found room, had the
-// use been known: it makes good for it. Without that, nodes refuse callers below their quota after a
-// cut.
-func (b *bucket) drain(tokens float64, late bool, lostBefore float64) {
+// deduct removes what a node has charged since its last report. If that was long ago, refill that found
+// the bucket full in the meantime would have found room if the charges had been known, so it is credited
+// against them. Without the credit, nodes reject callers below their quota after a partition.
+func (b *bucket) deduct(tokens float64, late bool, overflowBefore float64) {
 	if late && tokens > 0 {
-		credit := max(0, min(tokens, b.lost-lostBefore))
-		b.lost -= credit
+		credit := max(0, min(tokens, b.overflow-overflowBefore))
+		b.overflow -= credit
 		tokens -= credit
 	}
 	b.fill(-tokens)
 }
 
-// lateHeard is the silence after which what a node reports to have charged counts as late:
-// beyond some rounds, in which the lost refill is small.
-const lateHeard = time.Second
+// lateReport is the time since the last report after which a node's report counts as late: some rounds,
+// within which little refill overflows.
+const lateReport = time.Second
 
-// nodes is the number of nodes that share the quotas, this one included.
+// nodes returns the number of nodes that share the quotas, this one included.
 func (q *Quotas) nodes() float64 {
 	n := float64(len(q.peers) + 1)
-	if !q.named {
-		return max(n, unknownNodes)
+	if !q.peersKnown {
+		return max(n, assumedNodes)
 	}
 	return n
 }
 
-// heard is the part of the nodes whose use is known, this one included.
-func (q *Quotas) heard() float64 {
+// knownFraction returns the fraction of the nodes whose use is known, this one included.
+func (q *Quotas) knownFraction() float64 {
 	n := 1.0
 	for _, p := range q.peers {
-		if p.lifetime != "" {
+		if p.incarnation != "" {
 			n++
 		}
 	}
 	return n / q.nodes()
 }
 
-// whole tells whether the use of all nodes is known, or that there was none.
-func (q *Quotas) whole() bool { return q.full || q.heard() == 1 }
+// allKnown reports whether the use of all nodes is known, or there was none.
+func (q *Quotas) allKnown() bool { return q.startFull || q.knownFraction() == 1 }
 
-// Verdict is the answer to a charge.
+// Verdict is the result of a charge.
 type Verdict struct {
 	Allowed bool
 	Level   float64       // of the bucket as this node knows it
-	Wait    time.Duration // until it may be allowed, if it wasn't
+	Wait    time.Duration // until a rejected request may be admitted
 }
 
-// Charge takes tokens from a workspace's quota if they are there.
+// Charge takes tokens from a workspace's quota if they are available.
 func (q *Quotas) Charge(now time.Time, workspace string, tokens float64) Verdict {
 	b := q.buckets[workspace]
 	if b == nil || b.limit.Rate <= 0 {
@@ -207,12 +205,12 @@
 	q.refill(now, b)
 	floor := 0.0
 	if tokens <= smallRequest*b.limit.Burst {
-		floor = -smallDebt * b.limit.Burst
+		floor = -smallOverdraft * b.limit.Burst
 	}
-	calm := q.whole() && b.level-tokens >= calmLevel*b.limit.Burst && (b.spent == 0 || b.spent+tokens <= calmSpend*b.limit.Burst)
-	limit := q.grant(b) - floor/q.nodes() // each node its part of what the small ones may overdraw
-	if !calm && (b.level <= floor || b.spent >= limit) {
-		short := max(floor-b.level, b.spent-limit) + refillShare*b.limit.Burst
+	unshared := q.allKnown() && b.level-tokens >= unsharedLevel*b.limit.Burst && (b.spent == 0 || b.spent+tokens <= unsharedSpend*b.limit.Burst)
+	limit := q.allowance(b) - floor/q.nodes() // each node has its part of the overdraft of small requests
+	if !unshared && (b.level <= floor || b.spent >= limit) {
+		short := max(floor-b.level, b.spent-limit) + retryRefill*b.limit.Burst
 		return Verdict{Level: b.level, Wait: time.Duration(short / b.limit.Rate * float64(time.Second))}
 	}
 	b.level -= tokens
@@ -222,7 +220,7 @@
 	return Verdict{Allowed: true, Level: b.level}
 }
 
-// Refund gives back what a request was charged that didn't run.
+// Refund returns the charge of a request that did not run.
 func (q *Quotas) Refund(workspace string, tokens float64) {
 	b := q.buckets[workspace]
 	if b == nil || b.limit.Rate <= 0 {
@@ -233,15 +231,15 @@
 	b.charged -= tokens
 }
 
-// grant is what this node may spend of a bucket until the next round. Its share follows the
-// use before this round: by what it spends in the round, of which the others know nothing
-// yet, every node would be entitled to all of a bucket that was at rest.
-func (q *Quotas) grant(b *bucket) float64 {
+// allowance returns what this node may spend of a bucket until the next round. Its share follows the use
+// before this round: if it included the use in this round, which the other nodes do not know yet, each
+// node would be entitled to the whole of a bucket that was idle before.
+func (q *Quotas) allowance(b *bucket) float64 {
 	even := 1 / q.nodes()
 	share := even
 	own := max(0, b.recent-b.spent)
 	if all := own + q.peersRecent(b); all > 0 {
-		share = max(own/all*q.heard(), leastShare*even)
+		share = max(own/all*q.knownFraction(), minShare*even)
 	}
 	return share * (b.level + b.spent)
 }
@@ -259,14 +257,14 @@
 	return sum
 }
 
-// StartRound begins a new span between reports: it ages what is known, and takes off what
-// silent nodes may be charging. every is how long a span usually is, and lag how old the
-// word of a node is that isn't silent: that of the way on which it is handed on.
+// StartRound starts a new interval between reports: it ages recent use, and deducts what unresponsive
+// nodes may be charging. every is the usual length of an interval, and lag how old the report of a
+// responsive node may be on the path by which it is forwarded.
 func (q *Quotas) StartRound(now time.Time, every, lag time.Duration) {
-	silence := time.Duration(silentRounds*float64(every)) + lag
-	d, before := now.Sub(q.round).Seconds(), q.round
-	q.round = now
-	keep := 1 / (1 + d/useHalf.Seconds())
+	timeout := time.Duration(unresponsiveRounds*float64(every)) + lag
+	d, before := now.Sub(q.roundStart).Seconds(), q.roundStart
+	q.roundStart = now
+	keep := 1 / (1 + d/recentUseTime.Seconds())
 	for _, b := range q.buckets {
 		q.refill(now, b)
 		b.spent = 0
@@ -276,16 +274,16 @@
 		for n := range p.recent {
 			p.recent[n] *= keep
 		}
-		q.assume(now.Sub(p.heard) > silence, p, p.heard.Before(before.Add(-lag)), d)
+		q.deductAssumed(now.Sub(p.lastSeen) > timeout, p, p.lastSeen.Before(before.Add(-lag)), d)
 	}
 }
 
-// assume takes off what a node that missed a round may have charged in it, and, once it
-// is silent for longer, its part of the level that it knew when it was last heard.
-func (q *Quotas) assume(silent bool, p *peer, missed bool, d float64) {
+// deductAssumed deducts what a node that missed a round may have charged in it and, once the node becomes
+// unresponsive, its part of the level as it was known at its last report.
+func (q *Quotas) deductAssumed(unresponsive bool, p *peer, missed bool, d float64) {
 	for n, b := range q.buckets {
 		x := 0.0
-		if silent && !p.silent && b.level > 0 {
+		if unresponsive && !p.unresponsive && b.level > 0 {
 			x = b.level / q.nodes()
 		}
 		if missed {
@@ -296,13 +294,13 @@
 			p.assumed[n] += x
 		}
 	}
-	p.silent = silent
+	p.unresponsive = unresponsive
 }
 
-// SetPeers names the other nodes that share the quotas. A node that is gone for good
-// takes nothing any more.
+// SetPeers sets the other nodes that share the quotas. A node that is no longer listed is not assumed to
+// charge anything.
 func (q *Quotas) SetPeers(now time.Time, names []string) {
-	q.named = true
+	q.peersKnown = true
 	keep := make(map[string]bool, len(names))
 	for _, n := range names {
 		keep[n] = true
@@ -311,88 +309,88 @@
 	for n, p := range q.peers {
 		if !keep[n] {
 			delete(q.peers, n)
-			q.gone[n] = p
+			q.removed[n] = p
 		}
 	}
-	for n, p := range q.gone {
-		if now.Sub(p.heard) > goneKeeps {
-			delete(q.gone, n)
+	for n, p := range q.removed {
+		if now.Sub(p.lastSeen) > removedPeerTTL {
+			delete(q.removed, n)
 		}
 	}
 }
 
-// goneKeeps is how long a node that was taken off the list is remembered: longer than a cut
-// lasts, after which it is heard again. Were it taken for a new one, all that it has charged
-// in its life would be taken off the level at once.
-const goneKeeps = 5 * time.Minute
+// removedPeerTTL is how long a node that is no longer listed is remembered: longer than a partition
+// lasts, after which it reports again. If it were then taken for a new node, everything that it has
+// charged since its start would be deducted at once.
+const removedPeerTTL = 5 * time.Minute
 
-// peer returns what is known of a node, or begins to know it.
+// peer returns the state of a node and creates it if needed.
 func (q *Quotas) peer(now time.Time, name string) *peer {
 	p := q.peers[name]
 	if p == nil {
-		if p = q.gone[name]; p == nil {
+		if p = q.removed[name]; p == nil {
 			p = newPeer(now)
 		}
-		delete(q.gone, name)
+		delete(q.removed, name)
 		q.peers[name] = p
 	}
 	return p
 }
 
 func newPeer(now time.Time) *peer {
-	return &peer{heard: now, charged: map[string]float64{}, assumed: map[string]float64{}, recent: map[string]float64{}, lost: map[string]float64{}}
+	return &peer{lastSeen: now, charged: map[string]float64{}, assumed: map[string]float64{}, recent: map[string]float64{}, overflow: map[string]float64{}}
 }
 
-// Update is what a process of another node has charged since it began.
+// Update is what a process of another node has charged since its start.
 type Update struct {
-	Node     string
+	Node        string
 	Incarnation string
-	Sequence uint64        // of the process's report; 0: not known
-	Uptime   time.Duration // now
-	Age      time.Duration // since the node was heard: by this one, or by one that hands its word on
-	Charged  map[string]float64
+	Sequence    uint64        // of the process's report; 0: not known
+	Uptime      time.Duration // of the process now
+	Age         time.Duration // since the node's report to this node, or to the one that forwards the update
+	Charged     map[string]float64
 }
 
-// ApplyUpdate takes in another node's word. One of a process that another has taken the place of
-// says nothing: it came by a longer way.
+// ApplyUpdate applies another node's update. Updates of a process that has been replaced by a newer one
+// are ignored: they took a longer path.
 func (q *Quotas) ApplyUpdate(now time.Time, w Update) {
 	p := q.peer(now, w.Node)
-	began := now.Add(-w.Uptime)
-	if p.lifetime != w.Incarnation {
-		if p.lifetime != "" && began.Before(p.began) {
+	startedAt := now.Add(-w.Uptime)
+	if p.incarnation != w.Incarnation {
+		if p.incarnation != "" && startedAt.Before(p.startedAt) {
 			return
 		}
-		// What an unknown life has charged before was charged while this node couldn't
-		// hear of it. Only of one that is older than this process, what it charged before is
-		// what the bucket's first level stands for.
-		older := p.lifetime == "" && w.Uptime > now.Sub(q.began)+sameAge
-		p.lifetime, p.began, p.sequence = w.Incarnation, began, 0
+		// What an unknown incarnation charged before was charged while this node could not receive its
+		// reports, and is deducted. Only if it is older than this process, the bucket's initial level
+		// accounts for it already.
+		older := p.incarnation == "" && w.Uptime > now.Sub(q.startedAt)+startTolerance
+		p.incarnation, p.startedAt, p.sequence = w.Incarnation, startedAt, 0
 		p.charged = map[string]float64{}
 		if older {
 			p.charged = w.Charged
 		}
 	}
-	known := p.lifetime == w.Incarnation && p.sequence == w.Sequence && w.Sequence != 0 && len(p.assumed) == 0
+	known := p.incarnation == w.Incarnation && p.sequence == w.Sequence && w.Sequence != 0 && len(p.assumed) == 0
 	p.sequence = w.Sequence
-	late := now.Sub(p.heard) > lateHeard
-	if at := now.Add(-w.Age); at.After(p.heard) {
-		p.heard = at
+	late := now.Sub(p.lastSeen) > lateReport
+	if at := now.Add(-w.Age); at.After(p.lastSeen) {
+		p.lastSeen = at
 	}
-	p.silent = false
+	p.unresponsive = false
 	if known {
 		return
 	}
 	for n, b := range q.buckets {
 		d := w.Charged[n] - p.charged[n]
 		q.refill(now, b)
-		b.drain(d-p.assumed[n], late, p.lost[n])
-		p.lost[n] = b.lost
+		b.deduct(d-p.assumed[n], late, p.overflow[n])
+		p.overflow[n] = b.overflow
 		p.recent[n] += max(0, d)
 	}
 	p.charged, p.assumed = w.Charged, map[string]float64{}
 }
 
-// Charged returns what this process has charged in all, by workspace.
+// Charged returns what this process has charged since its start, by workspace.
 func (q *Quotas) Charged() map[string]float64 {
 	r := make(map[string]float64, len(q.buckets))
 	for n, b := range q.buckets {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fleet is some nodes that report to each other, and what they charged.
+// fleet is a set of nodes that report to each other, and what they charged.
 type fleet struct {
-	nodes []*Quotas
-	names []string
-	log   []charge
-	limit Limit
-	lives []int       // processes of each node so far
-	began []time.Time // the present ones
-	alone []bool      // they know nobody yet
+	nodes        []*Quotas
+	names        []string
+	charges      []charge
+	limit        Limit
+	restarts     []int       // number of restarts of each node
+	startedAt    []time.Time // start times of the current processes
+	peersUnknown []bool      // nodes that do not know the others yet
 }
 
 type charge struct {
@@ -29,21 +29,21 @@
 }
 
 func newFleet(n int, l Limit) *fleet {
-	f := &fleet{limit: l, lives: make([]int, n), began: make([]time.Time, n), alone: make([]bool, n)}
+	f := &fleet{limit: l, restarts: make([]int, n), startedAt: make([]time.Time, n), peersUnknown: make([]bool, n)}
 	for i := 0; i < n; i++ {
 		f.names = append(f.names, fmt.Sprint("n", i))
 	}
 	for i := 0; i < n; i++ {
 		q := New(start, true)
 		q.SetLimits(start, map[string]Limit{"w": l})
-		q.SetPeers(start, f.others(i))
+		q.SetPeers(start, f.peersOf(i))
 		f.nodes = append(f.nodes, q)
-		f.began[i] = start
+		f.startedAt[i] = start
 	}
 	return f
 }
 
-func (f *fleet) others(i int) []string {
+func (f *fleet) peersOf(i int) []string {
 	var r []string
 	for j, n := range f.names {
 		if j != i {
@@ -56,34 +56,34 @@
 func (f *fleet) charge(now time.Time, i int, tokens float64) bool {
 	v := f.nodes[i].Charge(now, "w", tokens)
 	if v.Allowed {
-		f.log = append(f.log, charge{now, tokens})
+		f.charges = append(f.charges, charge{now, tokens})
 	}
 	return v.Allowed
 }
 
-// exchange lets every node hear those on its side.
+// exchange sends each node the updates of the nodes on its side.
 func (f *fleet) exchange(now time.Time, side func(i int) int) {
 	for i, q := range f.nodes {
-		if f.alone[i] {
-			f.alone[i] = false
-			q.SetPeers(now, f.others(i))
+		if f.peersUnknown[i] {
+			f.peersUnknown[i] = false
+			q.SetPeers(now, f.peersOf(i))
 		}
 		for j, o := range f.nodes {
 			if i != j && side(i) == side(j) {
-				q.ApplyUpdate(now, Update{Node: f.names[j], Incarnation: fmt.Sprint(f.lives[j]), Uptime: now.Sub(f.began[j]), Charged: o.Charged()})
+				q.ApplyUpdate(now, Update{Node: f.names[j], Incarnation: fmt.Sprint(f.restarts[j]), Uptime: now.Sub(f.startedAt[j]), Charged: o.Charged()})
 			}
 		}
 		q.StartRound(now, 250*time.Millisecond, 0)
 	}
 }
 
-// most is the largest sum charged in any span.
+// most returns the largest sum charged in any span of the given length.
 func (f *fleet) most(span time.Duration) float64 {
 	most := 0.0
-	for i := range f.log {
+	for i := range f.charges {
 		sum := 0.0
-		for j := i; j < len(f.log) && f.log[j].at.Sub(f.log[i].at) <= span; j++ {
-			sum += f.log[j].tokens
+		for j := i; j < len(f.charges) && f.charges[j].at.Sub(f.charges[i].at) <= span; j++ {
+			sum += f.charges[j].tokens
 		}
 		most = max(most, sum)
 	}
@@ -92,8 +92,8 @@
 
 func together(int) int { return 0 }
 
-// assertHolds plays a rush of four times the rate and checks the sum over all nodes.
-func assertHolds(t *testing.T, f *fleet, seconds int, side func(second, i int) int, weight func(i int) float64) {
+// assertSumHolds simulates load of four times the rate and checks the sum over all nodes.
+func assertSumHolds(t *testing.T, f *fleet, seconds int, side func(second, i int) int, weight func(i int) float64) {
 	t.Helper()
 	const step = 10 * time.Millisecond
 	const round = 250 * time.Millisecond
@@ -120,25 +120,25 @@
 	l := Limit{Rate: 100_000, Burst: 100_000}
 	even := func(int) float64 { return 1.0 / 6 }
 	t.Run("even", func(t *testing.T) {
-		assertHolds(t, newFleet(6, l), 20, func(_, i int) int { return together(i) }, even)
+		assertSumHolds(t, newFleet(6, l), 20, func(_, i int) int { return together(i) }, even)
 	})
 	t.Run("one node gets nearly all", func(t *testing.T) {
-		assertHolds(t, newFleet(6, l), 20, func(_, i int) int { return together(i) }, func(i int) float64 { return []float64{0.95, 0.01, 0.01, 0.01, 0.01, 0.01}[i] })
+		assertSumHolds(t, newFleet(6, l), 20, func(_, i int) int { return together(i) }, func(i int) float64 { return []float64{0.95, 0.01, 0.01, 0.01, 0.01, 0.01}[i] })
 	})
-	t.Run("a cut in the middle", func(t *testing.T) {
-		assertHolds(t, newFleet(6, l), 20, func(s, i int) int {
+	t.Run("a partition in the middle", func(t *testing.T) {
+		assertSumHolds(t, newFleet(6, l), 20, func(s, i int) int {
 			if s < 5 || s > 14 {
 				return 0
 			}
 			return i % 2
 		}, even)
 	})
-	t.Run("nobody hears anybody", func(t *testing.T) {
-		assertHolds(t, newFleet(6, l), 20, func(s, i int) int { return i * min(s, 1) }, even)
+	t.Run("every node is isolated", func(t *testing.T) {
+		assertSumHolds(t, newFleet(6, l), 20, func(s, i int) int { return i * min(s, 1) }, even)
 	})
 }
 
-func TestUseUnderTheQuotaIsNotRefused(t *testing.T) {
+func TestUseBelowQuotaIsNotRejected(t *testing.T) {
 	f := newFleet(6, Limit{Rate: 100_000, Burst: 100_000})
 	now := start
 	for k := 0; k < 400; k++ {
@@ -152,29 +152,29 @@
 	assert.True(t, f.charge(now, 3, 30_000), "a large one through another node")
 }
 
-// TestLargeRequestsGetTheirPart mixes small and large requests far beyond the quota: both
-// kinds get in equally often.
-func TestLargeRequestsGetTheirPart(t *testing.T) {
+// TestLargeRequestsAreNotStarved mixes small and large requests far beyond the quota: both sizes are
+// admitted equally often.
+func TestLargeRequestsAreNotStarved(t *testing.T) {
 	f := newFleet(3, Limit{Rate: 100_000, Burst: 100_000})
 	r := rand.New(rand.NewPCG(1, 2))
-	asked, let := map[float64]float64{}, map[float64]float64{}
+	requests, admitted := map[float64]float64{}, map[float64]float64{}
 	for k := 0; k < 4000; k++ {
 		now := start.Add(time.Duration(k) * 5 * time.Millisecond)
 		tokens := []float64{800, 9000}[r.IntN(2)]
-		asked[tokens]++
+		requests[tokens]++
 		if f.charge(now, k%3, tokens) {
-			let[tokens]++
+			admitted[tokens]++
 		}
 		if k%50 == 0 {
 			f.exchange(now, together)
 		}
 	}
-	assert.InDelta(t, let[800]/asked[800], let[9000]/asked[9000], 0.05)
+	assert.InDelta(t, admitted[800]/requests[800], admitted[9000]/requests[9000], 0.05)
 	assert.LessOrEqual(t, f.most(8*time.Second), (100_000*8+100_000)*1.1+72000)
 }
 
-// TestShortRushesHold draws who asks when.
-func TestShortRushesHold(t *testing.T) {
+// TestShortBursts generates requests at random nodes and times.
+func TestShortBursts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4, Limit{Rate: 50_000, Burst: 50_000})
 		now := start
@@ -195,19 +195,19 @@
 		q.SetLimits(start, map[string]Limit{"w": {}})
 		assert.True(t, q.Charge(start, "w", 1e9).Allowed)
 	})
-	t.Run("a process that doesn't know the others yet takes a small part", func(t *testing.T) {
+	t.Run("a process that does not know the others yet may spend a small part", func(t *testing.T) {
 		q := New(start, false)
 		q.SetLimits(start, map[string]Limit{"w": {Rate: 1000, Burst: 16_000}})
-		assert.True(t, q.Charge(start, "w", 250).Allowed, "a sixteenth of its first level")
+		assert.True(t, q.Charge(start, "w", 250).Allowed, "a sixteenth of its initial level")
 		assert.False(t, q.Charge(start, "w", 250).Allowed)
 		q.SetPeers(start, []string{"b"})
 		assert.True(t, q.Charge(start, "w", 250).Allowed)
 	})
-	t.Run("a node that starts later starts with a part, and says how long to wait", func(t *testing.T) {
+	t.Run("a node that starts later starts with a part of the burst, and says how long to wait", func(t *testing.T) {
 		q := New(start, false)
 		q.SetPeers(start, nil)
 		q.SetLimits(start, map[string]Limit{"w": {Rate: 1000, Burst: 1000}})
-		assert.True(t, q.Charge(start, "w", 350).Allowed, "what is there may be overdrawn")
+		assert.True(t, q.Charge(start, "w", 350).Allowed, "a positive level may be overdrawn")
 		v := q.Charge(start, "w", 500)
 		assert.False(t, v.Allowed)
 		assert.Equal(t, 120*time.Millisecond, v.Wait.Round(time.Millisecond))
@@ -224,7 +224,7 @@
 		}
 		assert.Equal(t, 10, n)
 	})
-	t.Run("a refund gives back", func(t *testing.T) {
+	t.Run("a refund restores the level", func(t *testing.T) {
 		q := New(start, true)
 		q.SetPeers(start, nil)
 		q.SetLimits(start, map[string]Limit{"w": {Rate: 1000, Burst: 1000}})
@@ -233,11 +233,11 @@
 		assert.True(t, q.Charge(start, "w", 1000).Allowed)
 		assert.Equal(t, 1000.0, q.Charged()["w"])
 	})
-	t.Run("a request larger than the burst runs on a full bucket", func(t *testing.T) {
+	t.Run("a full bucket admits a request larger than the burst", func(t *testing.T) {
 		q := New(start, true)
 		q.SetPeers(start, nil)
 		q.SetLimits(start, map[string]Limit{"w": {Rate: 1000, Burst: 1000}})
 		assert.True(t, q.Charge(start, "w", 3000).Allowed)
-		assert.False(t, q.Charge(start.Add(time.Second), "w", 3000).Allowed, "the debt is paid first")
+		assert.False(t, q.Charge(start.Add(time.Second), "w", 3000).Allowed, "the overdraft is refilled first")
 	})
 }
--- a/internal/quota/recall.go
+++ b/internal/quota/recall.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// This file carries levels over a loss of all processes. A process that starts knows
-// nothing of what was charged a moment ago, and a part of the burst has to stand for it.
-// Where callers were well below their quotas, and all come back at once after a second or
-// two without service, that part refuses what the whole bucket would have let in.
-// So the levels are written down
-// every so often, and a process that starts goes on from there.
+// This file preserves levels when all processes are lost. A process that starts does not know what was
+// charged a moment ago, and starts with a part of the burst instead. If callers were well below their
+// quotas and all retry at once after a second or two without service, that part rejects requests that the
+// whole bucket would have admitted. So the levels are stored regularly, and a process that starts
+// continues from there.
 
-// Level is a bucket as it was written down.
+// Level is the stored state of a bucket.
 type Level struct {
 	Level float64 `json:"level"` // tokens
-	Use   float64 `json:"use"`   // tokens a second, of all nodes
+	Use   float64 `json:"use"`   // tokens per second, over all nodes
 }
 
-// recallLimit is the age up to which levels are gone by. What others have charged since is
-// heard from them only if they still run.
-const recallLimit = 6 * time.Second
+// maxRestoreAge is the age up to which stored levels are used. What other nodes have charged since then
+// is only reported by those that still run.
+const maxRestoreAge = 6 * time.Second
 
-// Levels returns what there is to write down.
+// Levels returns the levels to store.
 func (q *Quotas) Levels(now time.Time) map[string]Level {
 	r := make(map[string]Level, len(q.buckets))
 	for n, b := range q.buckets {
@@ -27,42 +26,43 @@
 			continue
 		}
 		q.refill(now, b)
-		r[n] = Level{Level: b.level, Use: (b.recent + q.peersRecent(b)) / useHalf.Seconds()}
+		r[n] = Level{Level: b.level, Use: (b.recent + q.peersRecent(b)) / recentUseTime.Seconds()}
 	}
 	return r
 }
 
-// recalled is a level that was written down, as of then.
-type recalled struct {
+// restoredLevel is a stored level and the time for which it holds.
+type restoredLevel struct {
 	level float64
 	at    time.Time
 }
 
-// Restore takes in levels that were written down so long ago, as they are so often, and tells
-// whether it did. Until they would have been written down again, use went on as it was.
+// Restore applies stored levels of the given age, which are stored at the interval every, and reports
+// whether it did. Use is assumed to have continued for one such interval, after which the levels would
+// have been stored again.
 func (q *Quotas) Restore(now time.Time, age, every time.Duration, levels map[string]Level) bool {
-	if q.full || age < 0 || age > recallLimit {
+	if q.startFull || age < 0 || age > maxRestoreAge {
 		return false
 	}
-	q.recalled = make(map[string]recalled, len(levels))
+	q.restored = make(map[string]restoredLevel, len(levels))
 	for n, l := range levels {
-		q.recalled[n] = recalled{level: l.Level - l.Use*min(age, every).Seconds(), at: now.Add(-age)}
+		q.restored[n] = restoredLevel{level: l.Level - l.Use*min(age, every).Seconds(), at: now.Add(-age)}
 		if b := q.buckets[n]; b != nil && b.limit.Rate > 0 {
 			q.refill(now, b)
-			first := q.first(b.began, n, b.limit)
-			b.level = min(b.limit.Burst, b.level+first-b.first)
-			b.first = first
+			initial := q.initialLevel(b.createdAt, n, b.limit)
+			b.level = min(b.limit.Burst, b.level+initial-b.initialLevel)
+			b.initialLevel = initial
 		}
 	}
 	return true
 }
 
-// first is the level that a bucket begins with.
-func (q *Quotas) first(now time.Time, workspace string, l Limit) float64 {
-	if q.full {
+// initialLevel returns the level with which a bucket starts.
+func (q *Quotas) initialLevel(now time.Time, workspace string, l Limit) float64 {
+	if q.startFull {
 		return l.Burst
 	}
-	r, ok := q.recalled[workspace]
+	r, ok := q.restored[workspace]
 	if !ok {
 		return restartLevel * l.Burst
 	}
