--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -18,22 +18,22 @@
 // the others learn of that with a delay.
 
 const (
-	playTick   = 10 * time.Millisecond
-	playRound  = 250 * time.Millisecond
-	playLasts  = 30 * time.Second
-	playKnown  = 3 * time.Second // after the upstream first names a rate; the limit is checked from then on
-	playSpan   = 4 * time.Second
-	playLate   = time.Second // until the other nodes see that a node was killed or has started
-	playAnswer = 50 * time.Millisecond
-	playDemand = 6.0                    // requests per second at each node
-	playGrace  = 500 * time.Millisecond // after the first response to a process that names the rate; its requests are checked from then on
+	simTick         = 10 * time.Millisecond
+	simRound        = 250 * time.Millisecond
+	simDuration     = 30 * time.Second
+	simSettled      = 3 * time.Second // after the upstream first names a rate; the limit is checked from then on
+	limitSpan       = 4 * time.Second
+	visibilityDelay = time.Second // until the other nodes see that a node was killed or has started
+	responseTime    = 50 * time.Millisecond
+	demandPerNode   = 6.0                    // requests per second at each node
+	informedGrace   = 500 * time.Millisecond // after the first response to a process that names the rate; its requests are checked from then on
 )
 
 // fleet is one simulation.
 type fleet struct {
 	r         *rand.Rand
 	now       time.Time
-	nodes     []*playedNode
+	nodes     []*simNode
 	arrivals  []time.Time // of all processes
 	checked   []time.Time // of processes that know the rate
 	rejected  int
@@ -43,7 +43,7 @@
 	startedAt time.Time
 }
 
-type playedNode struct {
+type simNode struct {
 	name       string
 	index      int
 	tracker    *Tracker
@@ -61,7 +61,7 @@
 	rate        func(at time.Duration) (float64, bool)
 	kills       float64 // nodes killed per second; each restarts within 4 s
 	sharerCount func(rate float64, nodes int) int
-	lost        time.Duration               // when all nodes are killed at once; 0: never
+	killAllAt   time.Duration               // when all nodes are killed at once; 0: never
 	partition   func(at time.Duration) bool // whether the two halls are partitioned
 	listed      bool                        // the other hall's nodes stay in the registry during a partition
 	reached     bool                        // both halls reach the upstream during a partition
@@ -81,7 +81,7 @@
 	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Lifetime{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
 	f.startedAt = f.now
 	for i := range o.nodes {
-		f.nodes = append(f.nodes, &playedNode{name: fmt.Sprint("n", i), index: i, tracker: f.newTracker(o, i)})
+		f.nodes = append(f.nodes, &simNode{name: fmt.Sprint("n", i), index: i, tracker: f.newTracker(o, i)})
 	}
 	return f
 }
@@ -95,27 +95,27 @@
 	return b
 }
 
-func (n *playedNode) up() bool { return n.killedAt.IsZero() }
+func (n *simNode) up() bool { return n.killedAt.IsZero() }
 
-// playListed is how long a node that was killed stays in the registry.
-const playListed = 6 * time.Second
+// registryTTL is how long a node that was killed stays in the registry.
+const registryTTL = 6 * time.Second
 
 // seen reports whether others take a node as up, by the registry or by its updates.
-func (n *playedNode) seen(now time.Time, registry bool) bool {
+func (n *simNode) seen(now time.Time, registry bool) bool {
 	if registry {
-		return n.up() || now.Sub(n.killedAt) < playListed
+		return n.up() || now.Sub(n.killedAt) < registryTTL
 	}
 	if n.up() {
-		return now.Sub(n.startedAt) > playLate
+		return now.Sub(n.startedAt) > visibilityDelay
 	}
-	return now.Sub(n.killedAt) < playLate
+	return now.Sub(n.killedAt) < visibilityDelay
 }
 
-func (f *fleet) play(o fleetOptions) {
-	for f.now.Sub(f.startedAt) < playLasts {
-		f.now = f.now.Add(playTick)
+func (f *fleet) run(o fleetOptions) {
+	for f.now.Sub(f.startedAt) < simDuration {
+		f.now = f.now.Add(simTick)
 		f.churn(o)
-		round := f.now.Sub(f.startedAt)%playRound == 0
+		round := f.now.Sub(f.startedAt)%simRound == 0
 		for _, n := range f.nodes {
 			if n.up() {
 				f.step(o, n, round)
@@ -128,16 +128,16 @@
 	for i, n := range f.nodes {
 		switch {
 		case !n.up() && f.now.Sub(n.killedAt) > time.Duration(1+f.r.IntN(3))*time.Second:
-			*n = playedNode{name: n.name, index: i, tracker: f.newTracker(o, i), startedAt: f.now}
-		case n.up() && o.lost > 0 && f.now.Sub(f.startedAt) == o.lost:
+			*n = simNode{name: n.name, index: i, tracker: f.newTracker(o, i), startedAt: f.now}
+		case n.up() && o.killAllAt > 0 && f.now.Sub(f.startedAt) == o.killAllAt:
 			n.killedAt = f.now
-		case n.up() && f.r.Float64() < o.kills*playTick.Seconds()/float64(len(f.nodes)):
+		case n.up() && f.r.Float64() < o.kills*simTick.Seconds()/float64(len(f.nodes)):
 			n.killedAt = f.now
 		}
 	}
 }
 
-func (f *fleet) step(o fleetOptions, n *playedNode, round bool) {
+func (f *fleet) step(o fleetOptions, n *simNode, round bool) {
 	if round {
 		f.exchange(o, n)
 	}
@@ -152,7 +152,7 @@
 		}
 		n.inFlight = n.inFlight[1:]
 	}
-	for range poisson(f.r, o.demand*playTick.Seconds()) {
+	for range poisson(f.r, o.demand*simTick.Seconds()) {
 		f.requests++
 		if n.tracker.Wait(f.now, f.of, false) > 0 {
 			f.rejected++
@@ -164,16 +164,16 @@
 			continue // the upstream is in the first node's hall
 		}
 		f.arrivals = append(f.arrivals, f.now)
-		if !n.informedAt.IsZero() && f.now.Sub(n.informedAt) >= playGrace {
+		if !n.informedAt.IsZero() && f.now.Sub(n.informedAt) >= informedGrace {
 			f.checked = append(f.checked, f.now)
 		}
-		n.inFlight = append(n.inFlight, sent{f.now, f.now.Add(playAnswer)})
+		n.inFlight = append(n.inFlight, sent{f.now, f.now.Add(responseTime)})
 	}
 }
 
 // exchange gives a node the observations of other nodes and the list of nodes.
-func (f *fleet) exchange(v fleetOptions, n *playedNode) {
-	if !v.listed && !n.startedAt.IsZero() && f.now.Sub(n.startedAt) <= playLate {
+func (f *fleet) exchange(v fleetOptions, n *simNode) {
+	if !v.listed && !n.startedAt.IsZero() && f.now.Sub(n.startedAt) <= visibilityDelay {
 		n.tracker.SetNodes(nil, nil) // it has just started and cannot know other nodes yet
 		return
 	}
@@ -201,11 +201,11 @@
 	return n
 }
 
-// most returns the most arrivals in any span after playKnown.
+// most returns the most arrivals in any span after simSettled.
 func (f *fleet) most(list []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range list {
-		if at.Sub(f.startedAt) < playKnown {
+		if at.Sub(f.startedAt) < simSettled {
 			first = i + 1
 			continue
 		}
@@ -217,15 +217,15 @@
 	return most
 }
 
-// used returns the share of a rate that was used after playKnown.
+// used returns the share of a rate that was used after simSettled.
 func (f *fleet) used(rate float64) float64 {
 	n := 0
 	for _, at := range f.arrivals {
-		if at.Sub(f.startedAt) >= playKnown {
+		if at.Sub(f.startedAt) >= simSettled {
 			n++
 		}
 	}
-	return float64(n) / (rate * (playLasts - playKnown).Seconds())
+	return float64(n) / (rate * (simDuration - simSettled).Seconds())
 }
 
 func allowed(rate float64, span time.Duration) int { return int(1.5*rate*span.Seconds()) + 5 }
@@ -254,15 +254,15 @@
 					most, all, used := 0, 0, 0.0
 					n := seeds(t, 1)
 					for seed := range n {
-						o := fleetOptions{nodes: nodes, demand: playDemand, rate: steady(rate), kills: kills, seed: uint64(seed)}
+						o := fleetOptions{nodes: nodes, demand: demandPerNode, rate: steady(rate), kills: kills, seed: uint64(seed)}
 						f := newFleet(o)
-						f.play(o)
-						most, all = max(most, f.most(f.checked, playSpan)), max(all, f.most(f.arrivals, playSpan))
+						f.run(o)
+						most, all = max(most, f.most(f.checked, limitSpan)), max(all, f.most(f.arrivals, limitSpan))
 						used += f.used(rate) / float64(n)
 					}
-					t.Logf("%d nodes, %v a second, %v killed: most %d of %d (%d with processes that do not know the rate yet), used %.2f", nodes, rate, kills, most, allowed(rate, playSpan), all, used)
-					assert.LessOrEqual(t, most, allowed(rate, playSpan))
-					if kills == 0 && float64(nodes)*playDemand > 4*rate {
+					t.Logf("%d nodes, %v a second, %v killed: most %d of %d (%d with processes that do not know the rate yet), used %.2f", nodes, rate, kills, most, allowed(rate, limitSpan), all, used)
+					assert.LessOrEqual(t, most, allowed(rate, limitSpan))
+					if kills == 0 && float64(nodes)*demandPerNode > 4*rate {
 						assert.GreaterOrEqual(t, used, 0.9)
 					}
 				})
@@ -277,18 +277,18 @@
 func (c changing) named(at time.Duration) (float64, bool) { r := c(at); return r, r > 0 }
 
 // over returns by how much the requests of any span exceed what the rates in it allow. Spans in which no
-// rate was named for a moment, or that start before playKnown, do not count.
+// rate was named for a moment, or that start before simSettled, do not count.
 func (f *fleet) over(c changing) float64 {
 	worst, first := 0.0, 0
 	for i, at := range f.checked {
-		for at.Sub(f.checked[first]) >= playSpan {
+		for at.Sub(f.checked[first]) >= limitSpan {
 			first++
 		}
-		from := max(playKnown, at.Sub(f.startedAt)-playSpan)
+		from := max(simSettled, at.Sub(f.startedAt)-limitSpan)
 		sum, counts := 0.0, true
-		for t := from; t < at.Sub(f.startedAt); t += playTick {
-			r, named := c.named(t - playAnswer - playRound) // as the nodes know it by then
-			sum += r * playTick.Seconds()
+		for t := from; t < at.Sub(f.startedAt); t += simTick {
+			r, named := c.named(t - responseTime - simRound) // as the nodes know it by then
+			sum += r * simTick.Seconds()
 			counts = counts && named
 		}
 		if counts && f.checked[first].Sub(f.startedAt) >= from {
@@ -331,11 +331,11 @@
 			t.Run(fmt.Sprint(name, " at ", nodes, " nodes"), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds(t, 1) {
-					o := fleetOptions{nodes: nodes, demand: playDemand, rate: c.named, kills: 0.1, seed: uint64(seed)}
+					o := fleetOptions{nodes: nodes, demand: demandPerNode, rate: c.named, kills: 0.1, seed: uint64(seed)}
 					f := newFleet(o)
-					f.play(o)
+					f.run(o)
 					assert.LessOrEqual(t, f.over(c), 0.0, "seed %d", seed)
-					if last := c(playLasts); last > 0 {
+					if last := c(simDuration); last > 0 {
 						n := 0
 						for _, at := range f.arrivals {
 							if f.now.Sub(at) < 5*time.Second {
@@ -350,22 +350,22 @@
 	}
 }
 
-// playHard runs a simulation with several fleets and rates, and calls f with each result.
-func playHard(t *testing.T, o fleetOptions, f func(t *testing.T, played *fleet, rate float64)) {
+// simulate runs a simulation with several fleets and rates, and calls f with each result.
+func simulate(t *testing.T, o fleetOptions, f func(t *testing.T, p *fleet, rate float64)) {
 	for _, nodes := range []int{12, 70, 419} {
 		for _, rate := range []float64{0.3, 1.2, 4, 25} {
-			if nodes > 100 && os.Getenv("SEEDS") == "" && (rate != 4 || o.lost == 0) {
+			if nodes > 100 && os.Getenv("SEEDS") == "" && (rate != 4 || o.killAllAt == 0) {
 				continue // only with SEEDS set
 			}
 			t.Run(fmt.Sprintf("%d nodes/%v a second", nodes, rate), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds(t, 1) {
 					v := o
-					v.nodes, v.demand, v.rate, v.seed = nodes, playDemand, steady(rate), uint64(seed)
+					v.nodes, v.demand, v.rate, v.seed = nodes, demandPerNode, steady(rate), uint64(seed)
 					p := newFleet(v)
-					p.play(v)
+					p.run(v)
 					t.Logf("%d nodes, %v a second, seed %d: most %d of %d (%d from all processes), used %.2f",
-						nodes, rate, seed, p.most(p.checked, playSpan), allowed(rate, playSpan), p.most(p.arrivals, playSpan), p.used(rate))
+						nodes, rate, seed, p.most(p.checked, limitSpan), allowed(rate, limitSpan), p.most(p.arrivals, limitSpan), p.used(rate))
 					f(t, p, rate)
 				}
 			})
@@ -385,8 +385,8 @@
 func TestFleetsLostAtOnce(t *testing.T) {
 	for name, listed := range map[string]bool{"the store is available": true, "the store is unavailable": false} {
 		t.Run(name, func(t *testing.T) {
-			playHard(t, fleetOptions{lost: 12 * time.Second, listed: listed, reached: true}, func(t *testing.T, p *fleet, rate float64) {
-				assert.LessOrEqual(t, p.most(p.checked, playSpan), allowed(rate, playSpan))
+			simulate(t, fleetOptions{killAllAt: 12 * time.Second, listed: listed, reached: true}, func(t *testing.T, p *fleet, rate float64) {
+				assert.LessOrEqual(t, p.most(p.checked, limitSpan), allowed(rate, limitSpan))
 				assert.Greater(t, p.used(rate), 0.8, "the restart takes some of the 27 seconds")
 			})
 		})
@@ -399,23 +399,23 @@
 // until its nodes are no longer listed.
 func TestFleetsPartitioned(t *testing.T) {
 	kept := func(t *testing.T, p *fleet, rate float64) {
-		assert.LessOrEqual(t, p.most(p.checked, playSpan), allowed(rate, playSpan))
+		assert.LessOrEqual(t, p.most(p.checked, limitSpan), allowed(rate, limitSpan))
 	}
 	partition := between(10*time.Second, 20*time.Second)
 	t.Run("both halls reach the upstream and stay in the registry", func(t *testing.T) {
-		playHard(t, fleetOptions{partition: partition, listed: true, reached: true}, func(t *testing.T, p *fleet, rate float64) {
+		simulate(t, fleetOptions{partition: partition, listed: true, reached: true}, func(t *testing.T, p *fleet, rate float64) {
 			kept(t, p, rate)
 			assert.Greater(t, p.used(rate), 0.9)
 		})
 	})
 	t.Run("one hall reaches it, the other hall's nodes are not listed", func(t *testing.T) {
-		playHard(t, fleetOptions{partition: partition}, func(t *testing.T, p *fleet, rate float64) {
+		simulate(t, fleetOptions{partition: partition}, func(t *testing.T, p *fleet, rate float64) {
 			kept(t, p, rate)
 			assert.Greater(t, p.used(rate), 0.9)
 		})
 	})
 	t.Run("one hall reaches it, all nodes stay in the registry", func(t *testing.T) {
-		playHard(t, fleetOptions{partition: partition, listed: true}, kept)
+		simulate(t, fleetOptions{partition: partition, listed: true}, kept)
 	})
 }
 
@@ -425,7 +425,7 @@
 
 // TestFleetsInOneSecond guards an overloaded upstream against bursts.
 func TestFleetsInOneSecond(t *testing.T) {
-	playHard(t, fleetOptions{reached: true}, func(t *testing.T, p *fleet, rate float64) {
+	simulate(t, fleetOptions{reached: true}, func(t *testing.T, p *fleet, rate float64) {
 		if rate > 10 {
 			t.Skip("TestFleetsInOneSecondAtHighRates")
 		}
@@ -437,9 +437,9 @@
 func TestFleetsInOneSecondAtHighRates(t *testing.T) {
 	for _, nodes := range []int{12, 70} {
 		const rate = 25.0
-		o := fleetOptions{nodes: nodes, demand: playDemand, rate: steady(rate)}
+		o := fleetOptions{nodes: nodes, demand: demandPerNode, rate: steady(rate)}
 		f := newFleet(o)
-		f.play(o)
+		f.run(o)
 		assert.LessOrEqual(t, f.most(f.checked, time.Second), maxPerSecond(rate), "%d nodes", nodes)
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -83,36 +83,36 @@
 
 // ObserveRate records a response that names a rate, to a request sent at the given time, and reports
 // whether that is a change.
-func (b *Tracker) ObserveRate(now, sent time.Time, of retry.Lifetime, rate float64) bool {
+func (t *Tracker) ObserveRate(now, sent time.Time, of retry.Lifetime, rate float64) bool {
 	w := Observation{Upstream: of, Rate: rate, At: now}
-	old := b.upstreams[of]
+	old := t.upstreams[of]
 	if !w.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
 		return false
 	}
-	return b.replace(w)
+	return t.replace(w)
 }
 
 // ObserveNoRate records a response that names no rate, and reports whether that is a change.
-func (b *Tracker) ObserveNoRate(now, sent time.Time, of retry.Lifetime) bool {
-	old := b.upstreams[of]
+func (t *Tracker) ObserveNoRate(now, sent time.Time, of retry.Lifetime) bool {
+	old := t.upstreams[of]
 	if old == nil || old.Lifted || !sent.After(old.At) {
 		return false
 	}
-	return b.replace(Observation{Upstream: of, Lifted: true, At: now})
+	return t.replace(Observation{Upstream: of, Lifted: true, At: now})
 }
 
 // Merge applies the observations of another node and returns those that changed something.
-func (b *Tracker) Merge(now time.Time, words []Observation) []Observation {
+func (t *Tracker) Merge(now time.Time, list []Observation) []Observation {
 	var changed []Observation
-	for _, w := range words {
+	for _, w := range list {
 		if !w.valid() || now.Sub(w.At) > observationTTL || w.At.After(now) {
 			continue
 		}
-		old := b.upstreams[w.Upstream]
+		old := t.upstreams[w.Upstream]
 		if old == nil && w.Lifted || old != nil && (!w.At.After(old.At) || old.same(w) && w.At.Sub(old.At) < renewalThreshold) {
 			continue
 		}
-		if b.replace(w) {
+		if t.replace(w) {
 			changed = append(changed, w)
 		}
 	}
@@ -121,12 +121,12 @@
 
 // replace stores an observation in place of the previous one and reports whether it states something
 // else.
-func (b *Tracker) replace(w Observation) bool {
-	k := b.upstreams[w.Upstream]
+func (t *Tracker) replace(w Observation) bool {
+	k := t.upstreams[w.Upstream]
 	if k == nil {
-		b.prune(w.At)
+		t.prune(w.At)
 		k = &upstream{Observation: Observation{Upstream: w.Upstream, Lifted: true}}
-		b.upstreams[w.Upstream] = k
+		t.upstreams[w.Upstream] = k
 	}
 	changed := !k.same(w)
 	if changed && k.Lifted {
@@ -138,28 +138,28 @@
 
 // Forget drops the observation of an upstream incarnation that has ended, for upstreams whose next
 // incarnation may have the same name.
-func (b *Tracker) Forget(of retry.Lifetime) { delete(b.upstreams, of) }
+func (t *Tracker) Forget(of retry.Lifetime) { delete(t.upstreams, of) }
 
 // prune drops observations that no response has renewed, and the oldest one if there are too many.
-func (b *Tracker) prune(now time.Time) {
+func (t *Tracker) prune(now time.Time) {
 	var oldest *upstream
-	for of, k := range b.upstreams {
+	for of, k := range t.upstreams {
 		if now.Sub(k.At) > observationTTL {
-			delete(b.upstreams, of)
+			delete(t.upstreams, of)
 		} else if oldest == nil || k.At.Before(oldest.At) {
 			oldest = k
 		}
 	}
-	if len(b.upstreams) >= maxObservations {
-		delete(b.upstreams, oldest.Upstream)
+	if len(t.upstreams) >= maxObservations {
+		delete(t.upstreams, oldest.Upstream)
 	}
 }
 
 // Observations returns all observations, for other nodes.
-func (b *Tracker) Observations(now time.Time) []Observation {
-	b.prune(now)
-	list := make([]Observation, 0, len(b.upstreams))
-	for _, k := range b.upstreams {
+func (t *Tracker) Observations(now time.Time) []Observation {
+	t.prune(now)
+	list := make([]Observation, 0, len(t.upstreams))
+	for _, k := range t.upstreams {
 		list = append(list, k.Observation)
 	}
 	return list
@@ -167,17 +167,17 @@
 
 // Lookup returns the observation that holds for an upstream and this node's share of its rate, for
 // display.
-func (b *Tracker) Lookup(now time.Time, of retry.Lifetime) (w Observation, share float64, named bool) {
-	if _, named = b.Rate(now, of); !named {
+func (t *Tracker) Lookup(now time.Time, of retry.Lifetime) (w Observation, share float64, named bool) {
+	if _, named = t.Rate(now, of); !named {
 		return Observation{}, 0, false
 	}
-	k := b.upstreams[of]
+	k := t.upstreams[of]
 	return k.Observation, k.share.rate, true
 }
 
 // Rate returns the rate that an upstream names, if any.
-func (b *Tracker) Rate(now time.Time, of retry.Lifetime) (float64, bool) {
-	k := b.upstreams[of]
+func (t *Tracker) Rate(now time.Time, of retry.Lifetime) (float64, bool) {
+	k := t.upstreams[of]
 	if k == nil || k.Lifted || now.Sub(k.At) > observationTTL {
 		return 0, false
 	}
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -15,8 +15,8 @@
 // left.
 //
 // It is designed for overloaded upstreams: these name a rate that is small compared to what the fleet
-// would send, often below one request a second per node. Senders may exceed the rate by half of it and
-// five requests.
+// would send, often below one request a second per node. The limit that operators check allows one and a
+// half times the rate and five requests.
 
 const (
 	// minShare is the smallest useful share of a rate: a node has requests for as much.
@@ -49,30 +49,30 @@
 
 // SetNodes sets the nodes, this one included, and those of them that place requests at engines for all
 // others; none: each node chooses.
-func (b *Tracker) SetNodes(nodes, placers []string) {
-	if slices.Equal(nodes, b.nodes) && slices.Equal(placers, b.placers) {
+func (t *Tracker) SetNodes(nodes, placers []string) {
+	if slices.Equal(nodes, t.nodes) && slices.Equal(placers, t.placers) {
 		return
 	}
-	b.nodes, b.placers = nodes, placers
-	b.version++
+	t.nodes, t.placers = nodes, placers
+	t.version++
 }
 
 // eligibleNodes returns the nodes of which some share a rate.
-func (b *Tracker) eligibleNodes(engine bool) []string {
-	if engine && len(b.placers) > 0 {
-		return b.placers
+func (t *Tracker) eligibleNodes(engine bool) []string {
+	if engine && len(t.placers) > 0 {
+		return t.placers
 	}
-	return b.nodes
+	return t.nodes
 }
 
 // rankFor returns this node's rank for an upstream.
-func (b *Tracker) rankFor(of retry.Lifetime, engine bool) rank {
-	s := rank{version: b.version, engine: engine}
-	own := weight(of, b.self)
-	for _, n := range b.eligibleNodes(engine) {
-		if n == b.self {
+func (t *Tracker) rankFor(of retry.Lifetime, engine bool) rank {
+	s := rank{version: t.version, engine: engine}
+	own := weight(of, t.self)
+	for _, n := range t.eligibleNodes(engine) {
+		if n == t.self {
 			s.listed = true
-		} else if cmp.Or(cmp.Compare(weight(of, n), own), cmp.Compare(n, b.self)) > 0 {
+		} else if cmp.Or(cmp.Compare(weight(of, n), own), cmp.Compare(n, t.self)) > 0 {
 			s.ahead++
 		}
 	}
@@ -82,13 +82,13 @@
 func weight(of retry.Lifetime, node string) uint64 { return xxhash.Sum64String(of.ID + "\x00" + node) }
 
 // shareOf returns this node's share of a rate as of now.
-func (b *Tracker) shareOf(now time.Time, k *upstream, rate float64, engine bool) *share {
+func (t *Tracker) shareOf(now time.Time, k *upstream, rate float64, engine bool) *share {
 	s := &k.share
-	if s.rank.version != b.version || s.rank.engine != engine {
-		s.rank = b.rankFor(k.Upstream, engine)
+	if s.rank.version != t.version || s.rank.engine != engine {
+		s.rank = t.rankFor(k.Upstream, engine)
 	}
 	part := 0.0
-	if count := b.sharerCount(rate, len(b.eligibleNodes(engine))); s.rank.listed && s.rank.ahead < count {
+	if count := t.sharerCount(rate, len(t.eligibleNodes(engine))); s.rank.listed && s.rank.ahead < count {
 		part = rate / float64(count)
 	}
 	s.refill(now, part)
@@ -97,12 +97,12 @@
 
 // Wait returns how long it takes until this node may send to an upstream; 0: it may now. If other nodes
 // share the rate, it is the time in which one of them may.
-func (b *Tracker) Wait(now time.Time, of retry.Lifetime, engine bool) time.Duration {
-	rate, named := b.Rate(now, of)
+func (t *Tracker) Wait(now time.Time, of retry.Lifetime, engine bool) time.Duration {
+	rate, named := t.Rate(now, of)
 	if !named {
 		return 0
 	}
-	s := b.shareOf(now, b.upstreams[of], rate, engine)
+	s := t.shareOf(now, t.upstreams[of], rate, engine)
 	switch {
 	case s.saved >= 1:
 		return 0
@@ -113,15 +113,15 @@
 }
 
 // Take records a request that is sent.
-func (b *Tracker) Take(now time.Time, of retry.Lifetime, engine bool) {
-	if rate, named := b.Rate(now, of); named {
-		b.shareOf(now, b.upstreams[of], rate, engine).saved--
+func (t *Tracker) Take(now time.Time, of retry.Lifetime, engine bool) {
+	if rate, named := t.Rate(now, of); named {
+		t.shareOf(now, t.upstreams[of], rate, engine).saved--
 	}
 }
 
 // Return gives back what was taken for a request that did not arrive.
-func (b *Tracker) Return(of retry.Lifetime) {
-	if k := b.upstreams[of]; k != nil {
+func (t *Tracker) Return(of retry.Lifetime) {
+	if k := t.upstreams[of]; k != nil {
 		k.share.saved = min(maxSaved, k.share.saved+1)
 	}
 }
--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -10,26 +10,26 @@
 // This file decides which requests are quarantined, and until when.
 
 // evaluate recomputes which requests are quarantined and returns the changes.
-func (b *Tracker) evaluate() []Change {
-	changes := b.shapeChanges
-	b.shapeChanges = nil
-	if !b.stale {
+func (t *Tracker) evaluate() []Change {
+	changes := t.shapeChanges
+	t.shapeChanges = nil
+	if !t.stale {
 		return changes
 	}
-	b.stale = false
-	for p, s := range b.suspects {
+	t.stale = false
+	for p, s := range t.suspects {
 		until := quarantineUntil(s.crashes)
 		longer, released := until.After(s.until), until.IsZero() && !s.until.IsZero()
 		s.until = until
 		if longer || released {
-			changes = append(changes, b.newChange(p, s))
+			changes = append(changes, t.newChange(p, s))
 		}
 	}
 	return changes
 }
 
-func (b *Tracker) newChange(p Fingerprint, s *suspect) Change {
-	b.revision++
+func (t *Tracker) newChange(p Fingerprint, s *suspect) Change {
+	t.revision++
 	c := Change{Fingerprint: p, Quarantined: !s.until.IsZero(), Until: s.until}
 	for _, e := range s.crashes {
 		c.Upstreams = append(c.Upstreams, e.Upstream)
@@ -65,17 +65,17 @@
 }
 
 // Check decides whether a request may be sent now.
-func (b *Tracker) Check(now time.Time, p Fingerprint) Verdict {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[p]
+func (t *Tracker) Check(now time.Time, p Fingerprint) Verdict {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[p]
 	if s == nil || s.until.IsZero() {
-		if f := b.shapes[p.Shape()]; f != nil {
-			return f.check(now, b.node, p)
+		if f := t.shapes[p.Shape()]; f != nil {
+			return f.check(now, t.node, p)
 		}
 		return Verdict{}
 	}
-	free := s.until.Add(b.probeDelay(p))
+	free := s.until.Add(t.probeDelay(p))
 	if now.Before(free) {
 		return Verdict{Quarantined: true, Wait: free.Sub(now), Upstreams: len(s.crashes)}
 	}
@@ -88,10 +88,10 @@
 
 // Remaining returns how much longer a request is quarantined; 0: it is not. Unlike Check, it never admits
 // a probe.
-func (b *Tracker) Remaining(now time.Time, p Fingerprint) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[p]
+func (t *Tracker) Remaining(now time.Time, p Fingerprint) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[p]
 	if s == nil {
 		return 0
 	}
@@ -101,15 +101,15 @@
 // MayRetry reports whether a request that has been sent may be sent once more: not if another copy of it
 // has crashed an upstream. own reports the upstreams that the request itself was sent to: requests that
 // ran there beside a deadly one keep their retry.
-func (b *Tracker) MayRetry(p Fingerprint, own func(upstream string) bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.suspects[p]
+func (t *Tracker) MayRetry(p Fingerprint, own func(upstream string) bool) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[p]
 	return s == nil || !slices.ContainsFunc(s.crashes, func(e Crash) bool { return !own(e.Upstream) })
 }
 
 // probeDelay returns how long after the end of a quarantine this node admits a probe: a moment of its own
 // for each node, without coordination.
-func (b *Tracker) probeDelay(p Fingerprint) time.Duration {
-	return time.Duration(xxhash.Sum64String(p.String()+b.node) % uint64(probeSpread))
+func (t *Tracker) probeDelay(p Fingerprint) time.Duration {
+	return time.Duration(xxhash.Sum64String(p.String()+t.node) % uint64(probeSpread))
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -78,7 +78,7 @@
 			_ = ShapeOf(r)
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("fingerprint", func(b *testing.B) {
 		for b.Loop() {
 			_ = FingerprintOf(r)
 		}
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -91,39 +91,39 @@
 
 // HasCrashes reports whether crashes were observed under a request of the shape. Most processes know of
 // none; for these it takes no lock.
-func (b *Tracker) HasCrashes(r func() Shape) bool {
-	if b.size.Load() == 0 {
+func (t *Tracker) HasCrashes(r func() Shape) bool {
+	if t.size.Load() == 0 {
 		return false
 	}
 	s := r()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.shapes[s] != nil
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.shapes[s] != nil
 }
 
 // CrashCount returns how many crashes were observed under a request.
-func (b *Tracker) CrashCount(p Fingerprint) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.suspects[p]; s != nil {
+func (t *Tracker) CrashCount(p Fingerprint) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.suspects[p]; s != nil {
 		return len(s.crashes)
 	}
 	return 0
 }
 
 // ObserveCrash records a crash that this process observed.
-func (b *Tracker) ObserveCrash(now time.Time, e Crash) []Change {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.addCrash(now, e)
-	return b.evaluate()
+func (t *Tracker) ObserveCrash(now time.Time, e Crash) []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addCrash(now, e)
+	return t.evaluate()
 }
 
 // addCrash records a crash and reports whether it is new.
-func (b *Tracker) addCrash(now time.Time, e Crash) bool {
-	s := b.suspects[e.Fingerprint]
+func (t *Tracker) addCrash(now time.Time, e Crash) bool {
+	s := t.suspects[e.Fingerprint]
 	if s == nil {
-		s = b.newSuspect(now, e.Fingerprint)
+		s = t.newSuspect(now, e.Fingerprint)
 	}
 	if e.At.Before(s.clearedAt.Add(sameCrashWindow)) {
 		return false // may be a crash from before the response, reported late
@@ -136,14 +136,14 @@
 	if len(s.crashes) > maxCrashes {
 		s.crashes = slices.Delete(s.crashes, 0, 1)
 	}
-	b.touch(now, s)
-	b.addToShape(e)
+	t.touch(now, s)
+	t.addToShape(e)
 	return true
 }
 
 // addToShape counts a crash against all requests of its shape.
-func (b *Tracker) addToShape(e Crash) {
-	f := b.shapes[e.Fingerprint.Shape()]
+func (t *Tracker) addToShape(e Crash) {
+	f := t.shapes[e.Fingerprint.Shape()]
 	if !f.add(e) {
 		return
 	}
@@ -151,49 +151,49 @@
 	for _, v := range f.crashes {
 		c.Upstreams = append(c.Upstreams, v.Upstream)
 	}
-	b.shapeChanges = append(b.shapeChanges, c)
+	t.shapeChanges = append(t.shapeChanges, c)
 }
 
 // touch records that something was learned about a request.
-func (b *Tracker) touch(now time.Time, s *suspect) {
+func (t *Tracker) touch(now time.Time, s *suspect) {
 	s.updatedAt = now
-	b.stale = b.stale || len(s.crashes) >= CrashThreshold || !s.until.IsZero()
+	t.stale = t.stale || len(s.crashes) >= CrashThreshold || !s.until.IsZero()
 }
 
 // newSuspect starts tracking a request. If there are too many, it evicts those with the weakest evidence.
-func (b *Tracker) newSuspect(now time.Time, p Fingerprint) *suspect {
-	if len(b.suspects) >= maxSuspects {
-		b.evict(now)
+func (t *Tracker) newSuspect(now time.Time, p Fingerprint) *suspect {
+	if len(t.suspects) >= maxSuspects {
+		t.evict(now)
 	}
 	s := &suspect{}
-	b.suspects[p] = s
-	f := b.shapes[p.Shape()]
+	t.suspects[p] = s
+	f := t.shapes[p.Shape()]
 	if f == nil {
 		f = &shapeState{}
-		b.shapes[p.Shape()] = f
+		t.shapes[p.Shape()] = f
 	}
 	f.suspects++
-	b.size.Store(int64(len(b.suspects)))
+	t.size.Store(int64(len(t.suspects)))
 	return s
 }
 
 // evict makes room: it removes what has expired and, if that is not enough, the requests with the fewest
 // crashes, among these the least recently updated ones.
-func (b *Tracker) evict(now time.Time) {
-	list := make([]Fingerprint, 0, len(b.suspects))
-	for p, s := range b.suspects {
+func (t *Tracker) evict(now time.Time) {
+	list := make([]Fingerprint, 0, len(t.suspects))
+	for p, s := range t.suspects {
 		if s.expired(now) {
-			b.remove(p)
+			t.remove(p)
 			continue
 		}
 		list = append(list, p)
 	}
 	slices.SortFunc(list, func(x, y Fingerprint) int {
-		v, w := b.suspects[x], b.suspects[y]
+		v, w := t.suspects[x], t.suspects[y]
 		return cmp.Or(cmp.Compare(len(v.crashes), len(w.crashes)), v.updatedAt.Compare(w.updatedAt))
 	})
 	for _, p := range list[:max(0, len(list)-maxSuspects+evictionBatch)] {
-		b.remove(p)
+		t.remove(p)
 	}
 }
 
@@ -207,39 +207,39 @@
 	return now.Sub(s.updatedAt) > suspectTTL
 }
 
-func (b *Tracker) remove(p Fingerprint) {
-	delete(b.suspects, p)
-	f := b.shapes[p.Shape()]
+func (t *Tracker) remove(p Fingerprint) {
+	delete(t.suspects, p)
+	f := t.shapes[p.Shape()]
 	if f.suspects--; f.suspects == 0 {
-		delete(b.shapes, p.Shape())
+		delete(t.shapes, p.Shape())
 	}
-	b.size.Store(int64(len(b.suspects)))
+	t.size.Store(int64(len(t.suspects)))
 }
 
 // ObserveResponse records that a request got a complete response, so it did not cause the crashes before.
-func (b *Tracker) ObserveResponse(now time.Time, p Fingerprint) []Change {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.clear(now, p, now)
-	b.clearShape(Response{p, now})
-	return b.evaluate()
+func (t *Tracker) ObserveResponse(now time.Time, p Fingerprint) []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.clear(now, p, now)
+	t.clearShape(Response{p, now})
+	return t.evaluate()
 }
 
 // clearShape records a response to a request of a shape: earlier crashes no longer count against the
 // shape.
-func (b *Tracker) clearShape(a Response) {
-	if f := b.shapes[a.Fingerprint.Shape()]; f != nil && f.observeResponse(a) {
-		b.shapeChanges = append(b.shapeChanges, Change{Fingerprint: a.Fingerprint, ByShape: true})
+func (t *Tracker) clearShape(a Response) {
+	if f := t.shapes[a.Fingerprint.Shape()]; f != nil && f.observeResponse(a) {
+		t.shapeChanges = append(t.shapeChanges, Change{Fingerprint: a.Fingerprint, ByShape: true})
 	}
 }
 
-func (b *Tracker) clear(now time.Time, p Fingerprint, at time.Time) bool {
-	s := b.suspects[p]
+func (t *Tracker) clear(now time.Time, p Fingerprint, at time.Time) bool {
+	s := t.suspects[p]
 	if s == nil || at.Sub(s.clearedAt) < sameCrashWindow {
 		return false
 	}
 	s.clearedAt = at
-	b.touch(now, s)
+	t.touch(now, s)
 	s.crashes = slices.DeleteFunc(s.crashes, func(e Crash) bool { return e.At.Before(at.Add(sameCrashWindow)) })
 	return true
 }
--- a/internal/quarantine/update.go
+++ b/internal/quarantine/update.go
@@ -39,21 +39,21 @@
 }
 
 // Empty reports whether there is nothing to send.
-func (w Update) Empty() bool { return len(w.Crashes)+len(w.Responses)+len(w.Probes) == 0 }
+func (u Update) Empty() bool { return len(u.Crashes)+len(u.Responses)+len(u.Probes) == 0 }
 
 // BuildUpdate returns what is to be sent now. It removes what has expired.
-func (b *Tracker) BuildUpdate(now time.Time) Update {
-	if b.size.Load() == 0 {
+func (t *Tracker) BuildUpdate(now time.Time) Update {
+	if t.size.Load() == 0 {
 		return Update{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var w Update
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var u Update
 	var list []*suspect
-	shapes := b.quarantinedShapes()
-	for p, s := range b.suspects {
+	shapes := t.quarantinedShapes()
+	for p, s := range t.suspects {
 		if s.expired(now) {
-			b.remove(p)
+			t.remove(p)
 			continue
 		}
 		recent := now.Sub(s.updatedAt) <= announceFor
@@ -61,36 +61,36 @@
 			list = append(list, s)
 		}
 		if recent && !s.clearedAt.IsZero() {
-			w.Responses = append(w.Responses, Response{p, s.clearedAt})
+			u.Responses = append(u.Responses, Response{p, s.clearedAt})
 		}
 		if now.Sub(s.probedAt) <= announceFor {
-			w.Probes = append(w.Probes, Probe{p, s.probedAt})
+			u.Probes = append(u.Probes, Probe{p, s.probedAt})
 		}
 	}
-	for _, f := range b.shapes {
+	for _, f := range t.shapes {
 		if now.Sub(f.clearedBy.At) <= announceFor {
-			w.Responses = append(w.Responses, f.clearedBy)
+			u.Responses = append(u.Responses, f.clearedBy)
 		}
 		if now.Sub(f.lastProbe.At) <= announceFor {
-			w.Probes = append(w.Probes, f.lastProbe)
+			u.Probes = append(u.Probes, f.lastProbe)
 		}
 	}
 	slices.SortFunc(list, func(x, y *suspect) int {
 		return cmp.Or(cmp.Compare(len(y.crashes), len(x.crashes)), y.updatedAt.Compare(x.updatedAt))
 	})
 	for _, s := range list {
-		if len(w.Crashes)+len(s.crashes) > maxUpdateCrashes {
+		if len(u.Crashes)+len(s.crashes) > maxUpdateCrashes {
 			break
 		}
-		w.Crashes = append(w.Crashes, s.crashes...)
+		u.Crashes = append(u.Crashes, s.crashes...)
 	}
-	return w
+	return u
 }
 
 // quarantinedShapes returns the shapes that are quarantined.
-func (b *Tracker) quarantinedShapes() map[Shape]bool {
+func (t *Tracker) quarantinedShapes() map[Shape]bool {
 	m := make(map[Shape]bool)
-	for s, f := range b.shapes {
+	for s, f := range t.shapes {
 		if len(f.crashes) >= shapeCrashThreshold && !f.until().IsZero() {
 			m[s] = true
 		}
@@ -100,43 +100,43 @@
 
 // Evidence returns the crashes that quarantine requests, and a revision that rises with each change of
 // the quarantined requests.
-func (b *Tracker) Evidence() ([]Crash, int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Evidence() ([]Crash, int64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []Crash
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		if !s.until.IsZero() {
 			list = append(list, s.crashes...)
 		}
 	}
-	return list, b.revision
+	return list, t.revision
 }
 
 // Merge applies an update of another tracker.
-func (b *Tracker) Merge(now time.Time, w Update) []Change {
-	if w.Empty() {
+func (t *Tracker) Merge(now time.Time, u Update) []Change {
+	if u.Empty() {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	changed := false
-	for _, a := range w.Responses {
-		changed = b.clear(now, a.Fingerprint, a.At) || changed
-		b.clearShape(a)
+	for _, a := range u.Responses {
+		changed = t.clear(now, a.Fingerprint, a.At) || changed
+		t.clearShape(a)
 	}
-	for _, e := range w.Crashes {
-		changed = b.addCrash(now, e) || changed
+	for _, e := range u.Crashes {
+		changed = t.addCrash(now, e) || changed
 	}
-	for _, t := range w.Probes {
-		if s := b.suspects[t.Fingerprint]; s != nil && t.At.Sub(s.probedAt) >= sameCrashWindow {
-			s.probedAt = t.At
+	for _, p := range u.Probes {
+		if s := t.suspects[p.Fingerprint]; s != nil && p.At.Sub(s.probedAt) >= sameCrashWindow {
+			s.probedAt = p.At
 		}
-		if f := b.shapes[t.Fingerprint.Shape()]; f != nil && t.At.After(f.lastProbe.At) {
-			f.lastProbe = t
+		if f := t.shapes[p.Fingerprint.Shape()]; f != nil && p.At.After(f.lastProbe.At) {
+			f.lastProbe = p
 		}
 	}
-	if !changed && len(b.shapeChanges) == 0 {
+	if !changed && len(t.shapeChanges) == 0 {
 		return nil
 	}
-	return b.evaluate()
+	return t.evaluate()
 }
--- a/internal/quota/exact_test.go
+++ b/internal/quota/exact_test.go
@@ -66,7 +66,7 @@
 
 const sizeMean = 0.1*30_000 + 0.9*1000
 
-func playQuota(o loadOptions) tally {
+func simulateLoad(o loadOptions) tally {
 	const step, round = 10 * time.Millisecond, 250 * time.Millisecond
 	limit := Limit{Rate: 400_000, Burst: 400_000}
 	f := newFleet(o.nodes, limit)
@@ -128,7 +128,7 @@
 				t.Run(fmt.Sprintf("%s/%d nodes/%v of the rate", name, nodes, demand), func(t *testing.T) {
 					var sum tally
 					for seed := range uint64(3) {
-						sum.add(playQuota(loadOptions{nodes: nodes, demand: demand, side: side, duration: 20 * time.Second, seed: seed}))
+						sum.add(simulateLoad(loadOptions{nodes: nodes, demand: demand, side: side, duration: 20 * time.Second, seed: seed}))
 					}
 					t.Logf("%s, %d nodes, %v of the rate: %d requests, %d rejected, %d owed, %.3f of the tokens", name, nodes, demand, sum.requests, sum.rejected, sum.owed, sum.tokens/sum.due)
 					if demand < 0.9 {
@@ -146,10 +146,10 @@
 func TestLoweredQuotaIsUsed(t *testing.T) {
 	for _, nodes := range []int{6, 70} {
 		o := loadOptions{nodes: nodes, demand: 1, side: allTogether, loweredAt: 4 * time.Second, duration: 24 * time.Second}
-		v := playQuota(o)
+		v := simulateLoad(o)
 		before := o
 		before.duration = 6 * time.Second // two seconds to settle
-		got := (v.tokens - playQuota(before).tokens) / (400_000.0 / 3 * 18)
+		got := (v.tokens - simulateLoad(before).tokens) / (400_000.0 / 3 * 18)
 		t.Logf("%d nodes: %.3f of the lowered rate", nodes, got)
 		assert.GreaterOrEqual(t, got, 0.95)
 		assert.LessOrEqual(t, got, 1.1)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -353,27 +353,27 @@
 
 // ApplyUpdate applies another node's update. Updates of a process that has been replaced by a newer one
 // are ignored: they took a longer path.
-func (q *Quotas) ApplyUpdate(now time.Time, w Update) {
-	p := q.peer(now, w.Node)
-	startedAt := now.Add(-w.Uptime)
-	if p.incarnation != w.Incarnation {
+func (q *Quotas) ApplyUpdate(now time.Time, u Update) {
+	p := q.peer(now, u.Node)
+	startedAt := now.Add(-u.Uptime)
+	if p.incarnation != u.Incarnation {
 		if p.incarnation != "" && startedAt.Before(p.startedAt) {
 			return
 		}
 		// What an unknown incarnation charged before was charged while this node could not receive its
 		// reports, and is deducted. Only if it is older than this process, the bucket's initial level
 		// accounts for it already.
-		older := p.incarnation == "" && w.Uptime > now.Sub(q.startedAt)+startTolerance
-		p.incarnation, p.startedAt, p.sequence = w.Incarnation, startedAt, 0
+		older := p.incarnation == "" && u.Uptime > now.Sub(q.startedAt)+startTolerance
+		p.incarnation, p.startedAt, p.sequence = u.Incarnation, startedAt, 0
 		p.charged = map[string]float64{}
 		if older {
-			p.charged = w.Charged
+			p.charged = u.Charged
 		}
 	}
-	known := p.incarnation == w.Incarnation && p.sequence == w.Sequence && w.Sequence != 0 && len(p.assumed) == 0
-	p.sequence = w.Sequence
+	known := p.incarnation == u.Incarnation && p.sequence == u.Sequence && u.Sequence != 0 && len(p.assumed) == 0
+	p.sequence = u.Sequence
 	late := now.Sub(p.lastSeen) > lateReport
-	if at := now.Add(-w.Age); at.After(p.lastSeen) {
+	if at := now.Add(-u.Age); at.After(p.lastSeen) {
 		p.lastSeen = at
 	}
 	p.unresponsive = false
@@ -381,13 +381,13 @@
 		return
 	}
 	for n, b := range q.buckets {
-		d := w.Charged[n] - p.charged[n]
+		d := u.Charged[n] - p.charged[n]
 		q.refill(now, b)
 		b.deduct(d-p.assumed[n], late, p.overflow[n])
 		p.overflow[n] = b.overflow
 		p.recent[n] += max(0, d)
 	}
-	p.charged, p.assumed = w.Charged, map[string]float64{}
+	p.charged, p.assumed = u.Charged, map[string]float64{}
 }
 
 // Charged returns what this process has charged since its start, by workspace.
