--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -37,8 +37,8 @@
 	renewalThreshold = time.Second
 	// maxObservations bounds the upstreams that are remembered.
 	maxObservations = 1024
-	// minRate is the rate at which an upstream still gets requests that allows none or next to none: only
-	// its responses tell when that ends.
+	// minRate is the rate at which requests are sent to an upstream that allows none or next to none: only
+	// its responses tell when that is over.
 	minRate = 0.1 // requests per second
 )
 
@@ -50,14 +50,14 @@
 	At       time.Time
 }
 
-// valid reports whether an observation can be meant.
-func (w Observation) valid() bool {
-	return w.Upstream.ID != "" && w.Rate >= 0 && !math.IsInf(w.Rate, 0)
+// valid reports whether an observation names an upstream and a rate that is finite and not negative.
+func (o Observation) valid() bool {
+	return o.Upstream.ID != "" && o.Rate >= 0 && !math.IsInf(o.Rate, 0)
 }
 
-// same reports whether two observations state the same.
-func (w Observation) same(o Observation) bool {
-	return w.Lifted == o.Lifted && (w.Lifted || w.Rate == o.Rate)
+// same reports whether two observations state the same rate, or none.
+func (o Observation) same(p Observation) bool {
+	return o.Lifted == p.Lifted && (o.Lifted || o.Rate == p.Rate)
 }
 
 // Tracker holds the observations and shares of one node. It isn't safe for concurrent use.
@@ -84,12 +84,12 @@
 // ObserveRate records a response that names a rate, to a request sent at the given time, and reports
 // whether that is a change.
 func (t *Tracker) ObserveRate(now, sent time.Time, of retry.Lifetime, rate float64) bool {
-	w := Observation{Upstream: of, Rate: rate, At: now}
+	o := Observation{Upstream: of, Rate: rate, At: now}
 	old := t.upstreams[of]
-	if !w.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
+	if !o.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
 		return false
 	}
-	return t.replace(w)
+	return t.replace(o)
 }
 
 // ObserveNoRate records a response that names no rate, and reports whether that is a change.
@@ -104,16 +104,16 @@
 // Merge applies the observations of another node and returns those that changed something.
 func (t *Tracker) Merge(now time.Time, list []Observation) []Observation {
 	var changed []Observation
-	for _, w := range list {
-		if !w.valid() || now.Sub(w.At) > observationTTL || w.At.After(now) {
+	for _, o := range list {
+		if !o.valid() || now.Sub(o.At) > observationTTL || o.At.After(now) {
 			continue
 		}
-		old := t.upstreams[w.Upstream]
-		if old == nil && w.Lifted || old != nil && (!w.At.After(old.At) || old.same(w) && w.At.Sub(old.At) < renewalThreshold) {
+		old := t.upstreams[o.Upstream]
+		if old == nil && o.Lifted || old != nil && (!o.At.After(old.At) || old.same(o) && o.At.Sub(old.At) < renewalThreshold) {
 			continue
 		}
-		if t.replace(w) {
-			changed = append(changed, w)
+		if t.replace(o) {
+			changed = append(changed, o)
 		}
 	}
 	return changed
@@ -121,23 +121,23 @@
 
 // replace stores an observation in place of the previous one and reports whether it states something
 // else.
-func (t *Tracker) replace(w Observation) bool {
-	k := t.upstreams[w.Upstream]
+func (t *Tracker) replace(o Observation) bool {
+	k := t.upstreams[o.Upstream]
 	if k == nil {
-		t.prune(w.At)
-		k = &upstream{Observation: Observation{Upstream: w.Upstream, Lifted: true}}
-		t.upstreams[w.Upstream] = k
+		t.prune(o.At)
+		k = &upstream{Observation: Observation{Upstream: o.Upstream, Lifted: true}}
+		t.upstreams[o.Upstream] = k
 	}
-	changed := !k.same(w)
+	changed := !k.same(o)
 	if changed && k.Lifted {
 		k.share = share{} // nothing is saved up from a time without a limit
 	}
-	k.Observation = w
+	k.Observation = o
 	return changed
 }
 
-// Forget drops the observation of an upstream incarnation that has ended, for upstreams whose next
-// incarnation may have the same name.
+// Forget drops the observation of an upstream incarnation that has ended, where the next incarnation may
+// have the same name.
 func (t *Tracker) Forget(of retry.Lifetime) { delete(t.upstreams, of) }
 
 // prune drops observations that no response has renewed, and the oldest one if there are too many.
@@ -167,7 +167,7 @@
 
 // Lookup returns the observation that holds for an upstream and this node's share of its rate, for
 // display.
-func (t *Tracker) Lookup(now time.Time, of retry.Lifetime) (w Observation, share float64, named bool) {
+func (t *Tracker) Lookup(now time.Time, of retry.Lifetime) (o Observation, share float64, named bool) {
 	if _, named = t.Rate(now, of); !named {
 		return Observation{}, 0, false
 	}
--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -79,8 +79,8 @@
 	if now.Before(free) {
 		return Verdict{Quarantined: true, Wait: free.Sub(now), Upstreams: len(s.crashes)}
 	}
-	if t := s.probedAt.Add(probeTimeout); now.Before(t) {
-		return Verdict{Quarantined: true, Wait: t.Sub(now), Upstreams: len(s.crashes)}
+	if until := s.probedAt.Add(probeTimeout); now.Before(until) {
+		return Verdict{Quarantined: true, Wait: until.Sub(now), Upstreams: len(s.crashes)}
 	}
 	s.probedAt = now
 	return Verdict{Probe: true, Upstreams: len(s.crashes)}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -183,7 +183,7 @@
 		var reports []report
 		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			v := report{at: time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * grid}
-			p := fpOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
+			p := fpOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "fingerprint"))
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
 				v.w.Responses = []Response{{p, at(v.at)}}
 			} else {
--- a/internal/quota/restore.go
+++ b/internal/quota/restore.go
@@ -31,7 +31,7 @@
 	return r
 }
 
-// restoredLevel is a stored level and the time for which it holds.
+// restoredLevel is a level as it was at a time before this process started.
 type restoredLevel struct {
 	level float64
 	at    time.Time
