--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -36,7 +36,7 @@
 const heldCause = "requests like this end the upstreams that run them"
 
 // withheld refuses a request that is held back when it comes; nil: it isn't.
-func (d *Dispatcher) withheld(of func() quarantine.Request) *Refusal {
+func (d *Dispatcher) withheld(of func() quarantine.Request) *Rejection {
 	p, ok := d.print(of)
 	if !ok {
 		return nil
@@ -45,17 +45,17 @@
 	if !v.Quarantined {
 		return nil
 	}
-	return &Refusal{cause: heldCause, after: v.Wait}
+	return &Rejection{cause: heldCause, after: v.Wait}
 }
 
 // held is withheld for a request that has been sent.
-func (d *Dispatcher) held(of func() quarantine.Request) *Refusal {
+func (d *Dispatcher) held(of func() quarantine.Request) *Rejection {
 	p, ok := d.print(of)
 	if !ok {
 		return nil
 	}
 	if w := d.suspects.Remaining(d.o.Clock.Now(), p); w > 0 {
-		return &Refusal{cause: heldCause, after: w}
+		return &Rejection{cause: heldCause, after: w}
 	}
 	return nil
 }
@@ -80,14 +80,14 @@
 	if v, ok := d.o.Table.Get(f.ID); !ok || v.Status != member.StatusLive {
 		return
 	}
-	if !d.o.Client.Refuses(ctx, f.Address) || !d.o.Reaches(ctx, f.Hall) {
+	if !d.o.Client.Refuses(ctx, f.Address) || !d.o.HallReachable(ctx, f.Hall) {
 		return
 	}
 	now := d.o.Clock.Now()
 	p := quarantine.FingerprintOf(of())
 	d.o.Event("upstream_ended", "", f.ID+" under "+p.String())
 	d.changed(d.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: p, Upstream: f.ID, At: now}))
-	d.o.Urgent()
+	d.o.ExchangeSoon()
 }
 
 // answered takes in that a request was answered whole.
@@ -118,7 +118,7 @@
 }
 
 // Hear takes in what another node told of them.
-func (d *Dispatcher) Hear(m *wire.Suspicions) {
+func (d *Dispatcher) ApplySuspicions(m *wire.Suspicions) {
 	now := d.o.Clock.Now()
 	d.changed(d.suspects.Merge(now, quarantine.UpdateFromWire(now, m)))
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -23,7 +23,7 @@
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
 		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, End: n.usage.End, Counts: n.counts, Late: n.s.UsageLate,
+		Window: n.usage.Window, End: n.usage.End, Counts: n.counts, Late: n.s.UsageDeadline,
 		Doubted: func(w int64) bool { return e.doubts(n.usage.End(w)) },
 	})
 	n.lease.Observe(func(err error) {
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -108,7 +108,7 @@
 			v.begin(ctx, n.Node)
 			v.write(ctx, n.Node, token, copied)
 			c := n.keys.Copy()
-			n.pools.Recall("llm", now)
+			n.pools.RestoreEngine("llm", now)
 			v.write(ctx, n.Node, token, n.pools.Learned())
 			token = n.giveBack(t, c)
 			v.begin(ctx, n.Node)
--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -21,15 +21,15 @@
 		return
 	}
 	if v.Leaving && !n.pools.Leaving(e) {
-		n.update("answer", func(_ time.Time, l *pool.List) { l.Leave(e) })
+		n.update("answer", func(_ time.Time, l *pool.List) { l.MarkLeaving(e) })
 	}
-	if v.Rest > 0 && n.pools.Rest(e, v.Rest) {
+	if v.Rest > 0 && n.pools.StartCooldown(e, v.Rest) {
 		upstreamEvents.Add("rests", 1)
 		n.log.Info("upstream_rests", zap.String("upstream", e.ID), zap.String("service", e.Service), zap.Int64("born", e.Born), zap.Duration("for", v.Rest))
 	}
 	n.noteUnread(e, v.Unread)
-	if n.pools.HearLimit(e, v.Limit, sent) {
-		n.noteLimit("answer", limit.Observation{Upstream: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
+	if n.pools.ObserveLimit(e, v.Limit, sent) {
+		n.noteLimit("answer", limit.Observation{Upstream: e.Incarnation(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
 	}
 }
 
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -19,7 +19,7 @@
 
 // hearLimits takes in what another node knows.
 func (n *Node) hearLimits(m []*wire.Limited, source string) {
-	for _, w := range n.pools.TakeLimits(message.LimitsFromWire(n.clock.Now(), m)) {
+	for _, w := range n.pools.ApplyLimits(message.LimitsFromWire(n.clock.Now(), m)) {
 		n.noteLimit(source, w)
 	}
 }
--- a/internal/edge/suspicions.go
+++ b/internal/edge/suspicions.go
@@ -26,7 +26,7 @@
 func (n *Node) hearSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Merge(now, quarantine.UpdateFromWire(now, m)), source)
+		n.front.ApplyQuarantine(n.suspects.Merge(now, quarantine.UpdateFromWire(now, m)), source)
 	}
 }
 
@@ -127,5 +127,5 @@
 		w.Crashes = append(w.Crashes, quarantine.Crash{Fingerprint: v.Print, Upstream: v.Upstream, At: at})
 	}
 	n.log.Info("held_found", zap.Int("ends", len(w.Crashes)))
-	n.front.Held(n.suspects.Merge(now, w), heldRecord.key)
+	n.front.ApplyQuarantine(n.suspects.Merge(now, w), heldRecord.key)
 }
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -22,13 +22,13 @@
 
 // suspiciousNode is a node that runs no duty, and what it knows.
 func suspiciousNode(name string, clock *timer.Manual) *Node {
-	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
 }
 
 func (n *Node) sawEnds(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.ApplyQuarantine(n.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -76,7 +76,7 @@
 	observe("broken_after_ms", now.Sub(a.sent))
 	if p := q.printOf(); !a.use.Leaving() { // one that has announced that it leaves ends as planned
 		e := quarantine.Crash{Fingerprint: p, Upstream: a.use.Entry().ID, At: now}
-		if s.o.Suspects.CrashCount(p) == 0 {
+		if s.o.Quarantine.CrashCount(p) == 0 {
 			go s.noteEnd(context.WithoutCancel(ctx), e, a.use.Entry()) // ends within the two looks' time-outs
 		} else {
 			s.noteEnd(ctx, e, a.use.Entry())
@@ -91,16 +91,16 @@
 // ends idle ones to several upstreams in a row. The looks take a round trip each, and a time-out where the
 // way is cut: only a request that has an end behind it is worth that before its next attempt.
 func (s *Server) noteEnd(ctx context.Context, e quarantine.Crash, u pool.Entry) {
-	if !s.o.Lines.get(u).Refuses(ctx, u.Address) || !s.o.Reaches(ctx, u.Hall) {
+	if !s.o.Connections.get(u).Refuses(ctx, u.Address) || !s.o.HallReachable(ctx, u.Hall) {
 		return
 	}
 	s.o.Log.Info("upstream_ended", zap.String("upstream", e.Upstream), zap.Stringer("print", e.Fingerprint))
-	s.Held(s.o.Suspects.ObserveCrash(s.o.Clock.Now(), e), "")
+	s.ApplyQuarantine(s.o.Quarantine.ObserveCrash(s.o.Clock.Now(), e), "")
 }
 
 // noteAnswered takes in that a request was answered whole.
 func (s *Server) noteAnswered(q *request) {
 	if s.suspected(q) {
-		s.Held(s.o.Suspects.ObserveResponse(s.o.Clock.Now(), q.printOf()), "")
+		s.ApplyQuarantine(s.o.Quarantine.ObserveResponse(s.o.Clock.Now(), q.printOf()), "")
 	}
 }
--- a/internal/forward/withhold.go
+++ b/internal/forward/withhold.go
@@ -21,7 +21,7 @@
 // suspected tells whether upstreams have ended under requests like this one. Only then is its
 // body looked at.
 func (s *Server) suspected(q *request) bool {
-	return s.o.Suspects.HasCrashes(func() quarantine.Shape { return quarantine.ShapeOf(q.identity()) })
+	return s.o.Quarantine.HasCrashes(func() quarantine.Shape { return quarantine.ShapeOf(q.identity()) })
 }
 
 // ends returns what a request under way is answered that isn't to be sent again, or nil.
@@ -29,7 +29,7 @@
 	if !s.suspected(q) {
 		return nil
 	}
-	wait := s.o.Suspects.Remaining(s.o.Clock.Now(), q.printOf())
+	wait := s.o.Quarantine.Remaining(s.o.Clock.Now(), q.printOf())
 	switch {
 	case wait == 0:
 		return nil
@@ -42,7 +42,7 @@
 // repeats tells whether a request that has reached an upstream may be sent once more for all that is known
 // of copies of it that were sent by others: once one has ended an upstream, second tries end as many more.
 func (s *Server) repeats(q *request) bool {
-	return q.arrivals == 0 || !s.suspected(q) || s.o.Suspects.MayRetry(q.printOf(), func(u string) bool { return slices.Contains(q.brokenAt, u) })
+	return q.arrivals == 0 || !s.suspected(q) || s.o.Quarantine.MayRetry(q.printOf(), func(u string) bool { return slices.Contains(q.brokenAt, u) })
 }
 
 // withhold refuses a request that is held back, before it is charged. It has not run, and says
@@ -54,7 +54,7 @@
 		if !s.suspected(q) {
 			return next(ctx, q)
 		}
-		r := s.o.Suspects.Check(s.o.Clock.Now(), q.printOf())
+		r := s.o.Quarantine.Check(s.o.Clock.Now(), q.printOf())
 		switch {
 		case r.Quarantined:
 			count("withheld", 1)
@@ -69,7 +69,7 @@
 
 // Held takes in what became different of what is held back, as another node told (empty: as
 // this one saw), and ends the attempts that wait at an upstream with such a request.
-func (s *Server) Held(changes []quarantine.Change, source string) {
+func (s *Server) ApplyQuarantine(changes []quarantine.Change, source string) {
 	for _, c := range changes {
 		if c.ByShape {
 			s.heldAlike(c, source)
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -38,7 +38,7 @@
 	checked   []time.Time // of processes that know the rate
 	rejected  int
 	requests  int
-	of        retry.Lifetime
+	of        retry.Incarnation
 	rate      func(at time.Duration) (float64, bool) // that the upstream names
 	startedAt time.Time
 }
@@ -78,7 +78,7 @@
 }
 
 func newFleet(o fleetOptions) *fleet {
-	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Lifetime{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
+	f := &fleet{r: rand.New(rand.NewPCG(o.seed, 1)), now: time.Unix(1000, 0), of: retry.Incarnation{ID: fmt.Sprint("u", o.seed)}, rate: o.rate}
 	f.startedAt = f.now
 	for i := range o.nodes {
 		f.nodes = append(f.nodes, &simNode{name: fmt.Sprint("n", i), index: i, tracker: f.newTracker(o, i)})
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -44,7 +44,7 @@
 
 // Observation is the latest rate that an upstream stated.
 type Observation struct {
-	Upstream retry.Lifetime
+	Upstream retry.Incarnation
 	Rate     float64 // requests per second, from all nodes together
 	Lifted   bool    // the upstream no longer names a rate
 	At       time.Time
@@ -66,7 +66,7 @@
 	nodes       []string // that may send, this one included
 	placers     []string // of these, the nodes that choose engines for all others; empty: each node chooses
 	version     uint64   // of nodes and placers
-	upstreams   map[retry.Lifetime]*upstream
+	upstreams   map[retry.Incarnation]*upstream
 	sharerCount func(rate float64, nodes int) int
 }
 
@@ -78,12 +78,12 @@
 
 // NewTracker returns the tracker of a node that knows no other nodes.
 func NewTracker(self string) *Tracker {
-	return &Tracker{self: self, nodes: []string{self}, version: 1, upstreams: make(map[retry.Lifetime]*upstream), sharerCount: sharerCount}
+	return &Tracker{self: self, nodes: []string{self}, version: 1, upstreams: make(map[retry.Incarnation]*upstream), sharerCount: sharerCount}
 }
 
 // ObserveRate records a response that names a rate, to a request sent at the given time, and reports
 // whether that is a change.
-func (t *Tracker) ObserveRate(now, sent time.Time, of retry.Lifetime, rate float64) bool {
+func (t *Tracker) ObserveRate(now, sent time.Time, of retry.Incarnation, rate float64) bool {
 	o := Observation{Upstream: of, Rate: rate, At: now}
 	old := t.upstreams[of]
 	if !o.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
@@ -93,7 +93,7 @@
 }
 
 // ObserveNoRate records a response that names no rate, and reports whether that is a change.
-func (t *Tracker) ObserveNoRate(now, sent time.Time, of retry.Lifetime) bool {
+func (t *Tracker) ObserveNoRate(now, sent time.Time, of retry.Incarnation) bool {
 	old := t.upstreams[of]
 	if old == nil || old.Lifted || !sent.After(old.At) {
 		return false
@@ -138,7 +138,7 @@
 
 // Forget drops the observation of an upstream incarnation that has ended, where the next incarnation may
 // have the same name.
-func (t *Tracker) Forget(of retry.Lifetime) { delete(t.upstreams, of) }
+func (t *Tracker) Forget(of retry.Incarnation) { delete(t.upstreams, of) }
 
 // prune drops observations that no response has renewed, and the oldest one if there are too many.
 func (t *Tracker) prune(now time.Time) {
@@ -167,7 +167,7 @@
 
 // Lookup returns the observation that holds for an upstream and this node's share of its rate, for
 // display.
-func (t *Tracker) Lookup(now time.Time, of retry.Lifetime) (o Observation, share float64, named bool) {
+func (t *Tracker) Lookup(now time.Time, of retry.Incarnation) (o Observation, share float64, named bool) {
 	if _, named = t.Rate(now, of); !named {
 		return Observation{}, 0, false
 	}
@@ -176,7 +176,7 @@
 }
 
 // Rate returns the rate that an upstream names, if any.
-func (t *Tracker) Rate(now time.Time, of retry.Lifetime) (float64, bool) {
+func (t *Tracker) Rate(now time.Time, of retry.Incarnation) (float64, bool) {
 	k := t.upstreams[of]
 	if k == nil || k.Lifted || now.Sub(k.At) > observationTTL {
 		return 0, false
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -14,13 +14,13 @@
 
 var (
 	at  = time.Unix(1000, 0)
-	one = retry.Lifetime{ID: "u", Born: 1}
+	one = retry.Incarnation{ID: "u", Born: 1}
 )
 
 func after(d time.Duration) time.Time { return at.Add(d) }
 
 // assertRate checks the rate that a tracker holds for an upstream; 0: none is named.
-func assertRate(t *testing.T, b *Tracker, now time.Time, of retry.Lifetime, want float64) {
+func assertRate(t *testing.T, b *Tracker, now time.Time, of retry.Incarnation, want float64) {
 	t.Helper()
 	rate, named := b.Rate(now, of)
 	assert.Equal(t, want > 0, named)
@@ -33,7 +33,7 @@
 		assert.True(t, b.ObserveRate(at, at, one, 2))
 		assert.False(t, b.ObserveRate(at, at, one, 2), "no change")
 		assertRate(t, b, at, one, 2)
-		assertRate(t, b, at, retry.Lifetime{ID: "u", Born: 2}, 0)
+		assertRate(t, b, at, retry.Incarnation{ID: "u", Born: 2}, 0)
 		assert.True(t, b.ObserveNoRate(after(2), after(1), one))
 		assertRate(t, b, after(2), one, 0)
 		assert.Zero(t, b.Wait(after(2), one, false))
@@ -73,10 +73,10 @@
 	t.Run("the observations are bounded", func(t *testing.T) {
 		b := NewTracker("a")
 		for i := range 2 * maxObservations {
-			b.ObserveRate(after(time.Duration(i)), at, retry.Lifetime{ID: fmt.Sprint(i)}, 1)
+			b.ObserveRate(after(time.Duration(i)), at, retry.Incarnation{ID: fmt.Sprint(i)}, 1)
 		}
 		assert.Len(t, b.upstreams, maxObservations)
-		assertRate(t, b, after(1), retry.Lifetime{ID: fmt.Sprint(2*maxObservations - 1)}, 1)
+		assertRate(t, b, after(1), retry.Incarnation{ID: fmt.Sprint(2*maxObservations - 1)}, 1)
 	})
 }
 
@@ -174,7 +174,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "nodes")
 		rate := rapid.Float64Range(minRate, 100).Draw(t, "rate")
-		of := retry.Lifetime{ID: rapid.StringN(1, 8, 8).Draw(t, "id")}
+		of := retry.Incarnation{ID: rapid.StringN(1, 8, 8).Draw(t, "id")}
 		var nodes []string
 		for i := range count {
 			nodes = append(nodes, fmt.Sprint("node-", i))
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -66,7 +66,7 @@
 }
 
 // rankFor returns this node's rank for an upstream.
-func (t *Tracker) rankFor(of retry.Lifetime, engine bool) rank {
+func (t *Tracker) rankFor(of retry.Incarnation, engine bool) rank {
 	s := rank{version: t.version, engine: engine}
 	own := weight(of, t.self)
 	for _, n := range t.eligibleNodes(engine) {
@@ -79,7 +79,9 @@
 	return s
 }
 
-func weight(of retry.Lifetime, node string) uint64 { return xxhash.Sum64String(of.ID + "\x00" + node) }
+func weight(of retry.Incarnation, node string) uint64 {
+	return xxhash.Sum64String(of.ID + "\x00" + node)
+}
 
 // shareOf returns this node's share of a rate as of now.
 func (t *Tracker) shareOf(now time.Time, k *upstream, rate float64, engine bool) *share {
@@ -97,7 +99,7 @@
 
 // Wait returns how long it takes until this node may send to an upstream; 0: it may now. If other nodes
 // share the rate, it is the time in which one of them may.
-func (t *Tracker) Wait(now time.Time, of retry.Lifetime, engine bool) time.Duration {
+func (t *Tracker) Wait(now time.Time, of retry.Incarnation, engine bool) time.Duration {
 	rate, named := t.Rate(now, of)
 	if !named {
 		return 0
@@ -113,14 +115,14 @@
 }
 
 // Take records a request that is sent.
-func (t *Tracker) Take(now time.Time, of retry.Lifetime, engine bool) {
+func (t *Tracker) Take(now time.Time, of retry.Incarnation, engine bool) {
 	if rate, named := t.Rate(now, of); named {
 		t.shareOf(now, t.upstreams[of], rate, engine).saved--
 	}
 }
 
 // Return gives back what was taken for a request that did not arrive.
-func (t *Tracker) Return(of retry.Lifetime) {
+func (t *Tracker) Return(of retry.Incarnation) {
 	if k := t.upstreams[of]; k != nil {
 		k.share.saved = min(maxSaved, k.share.saved+1)
 	}
