--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -70,12 +70,12 @@
 	mu    sync.Mutex
 	pools map[string]*pool
 
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 }
 
 // New returns a dispatcher without pools; they are created on first use.
 func New(o Options) *Dispatcher {
-	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), quarantine: quarantine.NewBook(o.Node)}
+	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), quarantine: quarantine.NewTracker(o.Node)}
 }
 
 func (d *Dispatcher) now() time.Duration { return d.o.Clock.Since(d.start) }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -26,11 +26,11 @@
 }
 
 // fingerprint returns the fingerprint of a request, if upstreams have crashed under similar ones.
-func (d *Dispatcher) fingerprint(of func() quarantine.Request) (quarantine.Print, bool) {
-	if !d.quarantine.Knows(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
-		return quarantine.Print{}, false
+func (d *Dispatcher) fingerprint(of func() quarantine.Request) (quarantine.Fingerprint, bool) {
+	if !d.quarantine.HasCrashes(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
+		return quarantine.Fingerprint{}, false
 	}
-	return quarantine.PrintOf(of()), true
+	return quarantine.FingerprintOf(of()), true
 }
 
 const quarantineCause = "requests like this end the upstreams that run them"
@@ -42,7 +42,7 @@
 		return nil
 	}
 	v := d.quarantine.Check(d.o.Clock.Now(), p)
-	if !v.Held {
+	if !v.Quarantined {
 		return nil
 	}
 	return &Rejection{cause: quarantineCause, after: v.Wait}
@@ -54,7 +54,7 @@
 	if !ok {
 		return nil
 	}
-	if w := d.quarantine.Wait(d.o.Clock.Now(), p); w > 0 {
+	if w := d.quarantine.Remaining(d.o.Clock.Now(), p); w > 0 {
 		return &Rejection{cause: quarantineCause, after: w}
 	}
 	return nil
@@ -67,7 +67,7 @@
 		return false
 	}
 	p, ok := d.fingerprint(of)
-	return ok && !d.quarantine.Repeats(p, tried.reached)
+	return ok && !d.quarantine.MayRetry(p, tried.reached)
 }
 
 // recordSevered records a failed attempt as a crash if the upstream broke the connection, had not announced that it
@@ -83,29 +83,29 @@
 		return
 	}
 	now := d.o.Clock.Now()
-	p := quarantine.PrintOf(of())
+	p := quarantine.FingerprintOf(of())
 	d.o.Event("upstream_ended", "", f.ID+" under "+p.String())
-	d.logChanges(d.quarantine.Broke(now, quarantine.End{Print: p, Upstream: f.ID, At: now}))
+	d.logChanges(d.quarantine.ObserveCrash(now, quarantine.Crash{Fingerprint: p, Upstream: f.ID, At: now}))
 	d.o.ExchangeSoon()
 }
 
 // recordComplete records that a request received a complete response.
 func (d *Dispatcher) recordComplete(of func() quarantine.Request) {
 	if p, ok := d.fingerprint(of); ok {
-		d.logChanges(d.quarantine.Answered(d.o.Clock.Now(), p))
+		d.logChanges(d.quarantine.ObserveResponse(d.o.Clock.Now(), p))
 	}
 }
 
 func (d *Dispatcher) logChanges(list []quarantine.Change) {
 	for _, c := range list {
-		if c.Alike {
-			d.o.Event(map[bool]string{true: "shape_held", false: "shape_released"}[c.Held], "", fmt.Sprintf("shape %d, %s", c.Print.Shape(), strings.Join(c.Upstreams, " ")))
+		if c.ByShape {
+			d.o.Event(map[bool]string{true: "shape_held", false: "shape_released"}[c.Quarantined], "", fmt.Sprintf("shape %d, %s", c.Fingerprint.Shape(), strings.Join(c.Upstreams, " ")))
 			continue
 		}
-		if c.Held {
-			d.o.Event("request_held", "", c.Print.String()+" ended "+strings.Join(c.Upstreams, " "))
+		if c.Quarantined {
+			d.o.Event("request_held", "", c.Fingerprint.String()+" ended "+strings.Join(c.Upstreams, " "))
 		} else {
-			d.o.Event("request_released", "", c.Print.String())
+			d.o.Event("request_released", "", c.Fingerprint.String())
 		}
 	}
 }
@@ -113,13 +113,13 @@
 // Suspicions returns what this node reports to others about requests that crash upstreams; nil if nothing.
 func (d *Dispatcher) Suspicions() *wire.Suspicions {
 	now := d.o.Clock.Now()
-	return d.quarantine.Words(now).ToWire(now)
+	return d.quarantine.BuildUpdate(now).ToWire(now)
 }
 
 // ApplySuspicions merges another node's suspicions.
 func (d *Dispatcher) ApplySuspicions(m *wire.Suspicions) {
 	now := d.o.Clock.Now()
-	d.logChanges(d.quarantine.Hear(now, quarantine.WordsFromWire(now, m)))
+	d.logChanges(d.quarantine.Merge(now, quarantine.UpdateFromWire(now, m)))
 }
 
 // readError classifies a failure to read a response's body.
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, c.Hear(1))
 	v.Node = newHolder(t, newEraKV(v.keys, c), clock.Service(), "a")
 	v.Node.era, v.Node.settings = c, &Settings{Node: "a"}
-	v.Node.quarantine = quarantine.NewBook("a")
+	v.Node.quarantine = quarantine.NewTracker("a")
 	c.OnRise(func(era.Rise) { v.Node.lease.Forget() })
 	return v
 }
@@ -83,8 +83,8 @@
 	token := acquireLease(t, n.Node)
 	copied := n.keys.Copy()
 	now := n.clock.Service().Now()
-	for i := range quarantine.Proof {
-		n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: string(rune('a' + i)), At: now})
+	for i := range quarantine.CrashThreshold {
+		n.quarantine.ObserveCrash(now, quarantine.Crash{Fingerprint: crashingFingerprint, Upstream: string(rune('a' + i)), At: now})
 	}
 	var q quarantineWriter
 	q.write(ctx, n.Node, token)
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -25,8 +25,8 @@
 }
 
 // logLimit logs that a limit is set, changed or lifted, and the source.
-func (n *Node) logLimit(source string, w limit.Word) {
-	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
+func (n *Node) logLimit(source string, w limit.Observation) {
+	f := []zap.Field{zap.String("upstream", w.Upstream.ID), zap.Int64("born", w.Upstream.Born), zap.String("source", source)}
 	if w.Lifted {
 		upstreamEvents.Add("limits_lifted", 1)
 		n.log.Info("limit_lifted", f...)
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -87,7 +87,7 @@
 	pools      *pool.Pools
 	lines      *forward.Connections
 	front      *forward.Server
-	quarantine *quarantine.Book // tracks requests that crash upstreams
+	quarantine *quarantine.Tracker // tracks requests that crash upstreams
 	lease      *lease.Lease
 
 	catalogFollower   *follower
@@ -150,7 +150,7 @@
 	n.usage = usage.New(s.Node, o.Incarnation, s.UsageWindow)
 	n.peers = newPeerTable(n)
 	n.aggregator = relay.NewAggregator(s.Node, o.Incarnation)
-	n.quarantine = quarantine.NewBook(s.Node)
+	n.quarantine = quarantine.NewTracker(s.Node)
 	n.rollouts = newRollouts()
 	n.catalogFollower = n.newCatalogFollower()
 	n.listFollower = n.newListFollower()
--- a/internal/edge/observe.go
+++ b/internal/edge/observe.go
@@ -30,7 +30,7 @@
 	}
 	n.logUnknownNames(e, v.Unread)
 	if n.pools.ObserveLimit(e, v.Limit, sent) {
-		n.logLimit("answer", limit.Word{Of: e.Incarnation(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
+		n.logLimit("answer", limit.Observation{Upstream: e.Incarnation(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
 	}
 }
 
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -211,7 +211,7 @@
 		return
 	}
 	n.spanStartedAt = now
-	n.quotas.Round(now, every, lag)
+	n.quotas.StartRound(now, every, lag)
 }
 
 // swapReports swaps reports with one peer.
@@ -318,7 +318,7 @@
 	for _, v := range r.Work {
 		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
-	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
+	n.quotas.ApplyUpdate(now, quota.Update{Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
 	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -26,14 +26,14 @@
 func (n *Node) mergeSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
-		n.front.ApplyQuarantine(n.quarantine.Hear(now, quarantine.WordsFromWire(now, m)), source)
+		n.front.ApplyQuarantine(n.quarantine.Merge(now, quarantine.UpdateFromWire(now, m)), source)
 	}
 }
 
 // suspicions returns this node's evidence for the other nodes, or nil if there is none.
 func (n *Node) suspicions() *wire.Suspicions {
 	now := n.clock.Now()
-	return n.quarantine.Words(now).ToWire(now)
+	return n.quarantine.BuildUpdate(now).ToWire(now)
 }
 
 const (
@@ -74,9 +74,9 @@
 
 // storedCrash is a crash of an upstream with its wall-clock time, as processes on other VMs read it.
 type storedCrash struct {
-	Fingerprint quarantine.Print `json:"print"`
-	Upstream    string           `json:"upstream"`
-	At          int64            `json:"at"` // Unix milliseconds
+	Fingerprint quarantine.Fingerprint `json:"print"`
+	Upstream    string                 `json:"upstream"`
+	At          int64                  `json:"at"` // Unix milliseconds
 }
 
 // quarantineWriter stores the evidence for the holder of the duties.
@@ -88,13 +88,13 @@
 // write stores the evidence that quarantines requests when it has changed. The next step repeats a failed
 // write.
 func (v *quarantineWriter) write(ctx context.Context, n *Node, token int64) {
-	ends, version := n.quarantine.Held()
+	ends, version := n.quarantine.Evidence()
 	if version == 0 || version == v.written && token == v.token {
 		return // never any evidence, or already stored; a write of an earlier term may be lost
 	}
 	list := make([]storedCrash, len(ends))
 	for i, e := range ends {
-		list[i] = storedCrash{e.Print, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
+		list[i] = storedCrash{e.Fingerprint, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
 	}
 	if quarantineRecord.write(ctx, n, token, list) {
 		v.written, v.token = version, token
@@ -121,11 +121,11 @@
 		return
 	}
 	now := n.clock.Now()
-	var w quarantine.Words
+	var w quarantine.Update
 	for _, v := range list {
 		at := now.Add(-max(0, now.Sub(n.clock.At(time.UnixMilli(v.At))))) // no crash lies in the future
-		w.Ends = append(w.Ends, quarantine.End{Print: v.Fingerprint, Upstream: v.Upstream, At: at})
+		w.Crashes = append(w.Crashes, quarantine.Crash{Fingerprint: v.Fingerprint, Upstream: v.Upstream, At: at})
 	}
-	n.log.Info("held_found", zap.Int("ends", len(w.Ends)))
-	n.front.ApplyQuarantine(n.quarantine.Hear(now, w), quarantineRecord.key)
+	n.log.Info("held_found", zap.Int("ends", len(w.Crashes)))
+	n.front.ApplyQuarantine(n.quarantine.Merge(now, w), quarantineRecord.key)
 }
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -18,7 +18,7 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-var crashingFingerprint = quarantine.PrintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
+var crashingFingerprint = quarantine.FingerprintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
 
 // newTestNode returns a node that runs no background task.
 func newTestNode(name string, clock *timer.Manual) *Node {
@@ -28,11 +28,13 @@
 func (n *Node) observeCrashes(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.ApplyQuarantine(n.quarantine.Broke(now, quarantine.End{Print: crashingFingerprint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.ApplyQuarantine(n.quarantine.ObserveCrash(now, quarantine.Crash{Fingerprint: crashingFingerprint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
-func (n *Node) isQuarantined() bool { return n.quarantine.Wait(n.clock.Now(), crashingFingerprint) > 0 }
+func (n *Node) isQuarantined() bool {
+	return n.quarantine.Remaining(n.clock.Now(), crashingFingerprint) > 0
+}
 
 // TestSuspicionsInEveryMessage checks that each kind of message between nodes carries crash evidence both ways.
 func TestSuspicionsInEveryMessage(t *testing.T) {
@@ -58,11 +60,11 @@
 	for name, exchange := range messages {
 		t.Run(name, func(t *testing.T) {
 			x, y := pair()
-			x.observeCrashes(quarantine.Proof)
+			x.observeCrashes(quarantine.CrashThreshold)
 			exchange(t, x, y)
 			assert.True(t, y.isQuarantined(), "request")
 			x, y = pair()
-			y.observeCrashes(quarantine.Proof)
+			y.observeCrashes(quarantine.CrashThreshold)
 			exchange(t, x, y)
 			assert.True(t, x.isQuarantined(), "response")
 		})
@@ -73,7 +75,7 @@
 		x.observeCrashes(1)
 		messages["swap"](t, x, y)
 		messages["gather"](t, z, y)
-		assert.Equal(t, 1, z.quarantine.Ends(crashingFingerprint))
+		assert.Equal(t, 1, z.quarantine.CrashCount(crashingFingerprint))
 	})
 }
 
@@ -81,7 +83,7 @@
 // ignored.
 func TestSuspicionsOfAnotherVersion(t *testing.T) {
 	m := &wire.Suspicions{Ends: []*wire.End{{Print: []byte("short"), Upstream: "u"}}, Answers: []*wire.Answered{{Print: nil}}}
-	assert.True(t, quarantine.WordsFromWire(time.Unix(1000, 0), m).Empty())
+	assert.True(t, quarantine.UpdateFromWire(time.Unix(1000, 0), m).Empty())
 }
 
 // TestReachesHall checks that a hall is reachable if one of its nodes listens.
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -182,7 +182,7 @@
 	for _, w := range updates {
 		covered[w.Node] = true
 		if p := n.peers.peers[w.Node]; p != nil && !(p.incarnation == w.Incarnation && p.sequence > w.Sequence) {
-			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Incarnation, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
+			n.quotas.ApplyUpdate(now, quota.Update{Node: w.Node, Incarnation: w.Incarnation, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
 	n.digestAt, n.digestNodes, n.rollouts.digestTrials = now, covered, d.Trials
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -88,7 +88,7 @@
 	// Trials connects requests to roll-outs.
 	Trials Trials
 	// Quarantine tracks the requests that crash upstreams.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	// HallReachable reports whether a hall can be reached over the network.
 	HallReachable func(ctx context.Context, hall string) bool
 }
@@ -156,7 +156,7 @@
 	use             *pool.Use         // last attempt's upstream
 	observed        call.Answer       // last response of that upstream
 	upstreamFailure *response         // an upstream's own error response, passed on if no later attempt succeeds
-	fingerprint     *quarantine.Print
+	fingerprint     *quarantine.Fingerprint
 }
 
 func (q *request) workspaceName() string {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -21,7 +21,7 @@
 // suspectShape reports whether upstreams have crashed under requests of this shape. Only then is the
 // request's body read for a fingerprint.
 func (s *Server) suspectShape(q *request) bool {
-	return s.o.Quarantine.Knows(func() quarantine.Shape { return quarantine.ShapeOf(q.identity()) })
+	return s.o.Quarantine.HasCrashes(func() quarantine.Shape { return quarantine.ShapeOf(q.identity()) })
 }
 
 // quarantineError returns the final error for a request in progress that is quarantined, or nil.
@@ -29,7 +29,7 @@
 	if !s.suspectShape(q) {
 		return nil
 	}
-	wait := s.o.Quarantine.Wait(s.o.Clock.Now(), q.fingerprintOf())
+	wait := s.o.Quarantine.Remaining(s.o.Clock.Now(), q.fingerprintOf())
 	switch {
 	case wait == 0:
 		return nil
@@ -42,7 +42,7 @@
 // allowsRepeat reports whether a request that has reached an upstream may be sent again, given what is known of
 // other copies of it: once a copy has crashed an upstream, second attempts would crash as many again.
 func (s *Server) allowsRepeat(q *request) bool {
-	return q.arrivals == 0 || !s.suspectShape(q) || s.o.Quarantine.Repeats(q.fingerprintOf(), func(u string) bool { return slices.Contains(q.severedBy, u) })
+	return q.arrivals == 0 || !s.suspectShape(q) || s.o.Quarantine.MayRetry(q.fingerprintOf(), func(u string) bool { return slices.Contains(q.severedBy, u) })
 }
 
 // rejectQuarantined rejects a quarantined request before it is charged. The request has not run, and the
@@ -56,12 +56,12 @@
 		}
 		r := s.o.Quarantine.Check(s.o.Clock.Now(), q.fingerprintOf())
 		switch {
-		case r.Held:
+		case r.Quarantined:
 			count("withheld", 1)
-			s.o.Log.Info("request_withheld", zap.String("request", q.meta.ID), zap.Stringer("print", q.fingerprintOf()), zap.Int("upstreams", r.Upstreams), zap.Bool("alike", r.Alike), zap.Duration("wait", r.Wait))
+			s.o.Log.Info("request_withheld", zap.String("request", q.meta.ID), zap.Stringer("print", q.fingerprintOf()), zap.Int("upstreams", r.Upstreams), zap.Bool("alike", r.ByShape), zap.Duration("wait", r.Wait))
 			return nil, &rejection{status: http.StatusServiceUnavailable, reason: errQuarantined.Error(), retry: r.Wait}
-		case r.Trial:
-			s.o.Log.Info("request_let_through", zap.String("request", q.meta.ID), zap.Stringer("print", q.fingerprintOf()), zap.Int("upstreams", r.Upstreams), zap.Bool("alike", r.Alike))
+		case r.Probe:
+			s.o.Log.Info("request_let_through", zap.String("request", q.meta.ID), zap.Stringer("print", q.fingerprintOf()), zap.Int("upstreams", r.Upstreams), zap.Bool("alike", r.ByShape))
 		}
 		return next(ctx, q)
 	}
@@ -71,27 +71,27 @@
 // this node), and cancels the attempts with newly quarantined requests that wait at an upstream.
 func (s *Server) ApplyQuarantine(changes []quarantine.Change, source string) {
 	for _, c := range changes {
-		if c.Alike {
+		if c.ByShape {
 			s.applyShapeQuarantine(c, source)
 			continue
 		}
-		if !c.Held {
+		if !c.Quarantined {
 			count("released", 1)
-			s.o.Log.Info("request_released", zap.Stringer("print", c.Print), zap.String("source", source))
+			s.o.Log.Info("request_released", zap.Stringer("print", c.Fingerprint), zap.String("source", source))
 			continue
 		}
 		count("held", 1)
-		s.o.Log.Info("request_held", zap.Stringer("print", c.Print), zap.Strings("upstreams", c.Upstreams),
+		s.o.Log.Info("request_held", zap.Stringer("print", c.Fingerprint), zap.Strings("upstreams", c.Upstreams),
 			zap.Duration("for", c.Until.Sub(s.o.Clock.Now())), zap.String("source", source))
-		s.pending.cancel(c.Print)
+		s.pending.cancel(c.Fingerprint)
 	}
 }
 
 // applyShapeQuarantine logs that all requests of a shape are quarantined, or are no longer. Those in progress
 // continue: most requests of a shape are harmless, and a response to one of them releases the others.
 func (s *Server) applyShapeQuarantine(c quarantine.Change, source string) {
-	f := []zap.Field{zap.Uint64("shape", uint64(c.Print.Shape())), zap.Stringer("print", c.Print), zap.String("source", source)}
-	if !c.Held {
+	f := []zap.Field{zap.Uint64("shape", uint64(c.Fingerprint.Shape())), zap.Stringer("print", c.Fingerprint), zap.String("source", source)}
+	if !c.Quarantined {
 		count("shapes_released", 1)
 		s.o.Log.Info("shape_released", f...)
 		return
@@ -121,11 +121,11 @@
 }
 
 // cancel ends the attempts of a request: upstreams drop a queued request when its connection closes.
-func (f *attemptSet) cancel(p quarantine.Print) {
+func (f *attemptSet) cancel(p quarantine.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for a, q := range f.attempts {
-		if quarantine.ShapeOf(q.identity()) == p.Shape() && quarantine.PrintOf(q.identity()) == p {
+		if quarantine.ShapeOf(q.identity()) == p.Shape() && quarantine.FingerprintOf(q.identity()) == p {
 			a.cancel(errQuarantined)
 			count("withdrawn", 1)
 		}
--- a/internal/forward/severed.go
+++ b/internal/forward/severed.go
@@ -54,9 +54,9 @@
 }
 
 // fingerprintOf returns the request's fingerprint. Computing it reads the whole body, so it is cached.
-func (q *request) fingerprintOf() quarantine.Print {
+func (q *request) fingerprintOf() quarantine.Fingerprint {
 	if q.fingerprint == nil {
-		p := quarantine.PrintOf(q.identity())
+		p := quarantine.FingerprintOf(q.identity())
 		q.fingerprint = &p
 	}
 	return *q.fingerprint
@@ -75,8 +75,8 @@
 	count("broken_"+v.String(), 1)
 	observe("broken_after_ms", now.Sub(a.sentAt))
 	if p := q.fingerprintOf(); !a.use.Leaving() { // an upstream that announced its shutdown has not crashed
-		e := quarantine.End{Print: p, Upstream: a.use.Entry().ID, At: now}
-		if s.o.Quarantine.Ends(p) == 0 {
+		e := quarantine.Crash{Fingerprint: p, Upstream: a.use.Entry().ID, At: now}
+		if s.o.Quarantine.CrashCount(p) == 0 {
 			go s.recordCrash(context.WithoutCancel(ctx), e, a.use.Entry()) // bounded by the time-outs of the two checks
 		} else {
 			s.recordCrash(ctx, e, a.use.Entry())
@@ -90,17 +90,17 @@
 // Nor is it a crash if the upstream's hall is unreachable: a partition that resets connections ends idle
 // ones to several upstreams in a row. Each check takes a round trip, or a time-out during a partition, so
 // only a request that already has a crash on record waits for them before its next attempt.
-func (s *Server) recordCrash(ctx context.Context, e quarantine.End, u pool.Entry) {
+func (s *Server) recordCrash(ctx context.Context, e quarantine.Crash, u pool.Entry) {
 	if !s.o.Connections.get(u).Refuses(ctx, u.Address) || !s.o.HallReachable(ctx, u.Hall) {
 		return
 	}
-	s.o.Log.Info("upstream_ended", zap.String("upstream", e.Upstream), zap.Stringer("print", e.Print))
-	s.ApplyQuarantine(s.o.Quarantine.Broke(s.o.Clock.Now(), e), "")
+	s.o.Log.Info("upstream_ended", zap.String("upstream", e.Upstream), zap.Stringer("print", e.Fingerprint))
+	s.ApplyQuarantine(s.o.Quarantine.ObserveCrash(s.o.Clock.Now(), e), "")
 }
 
 // recordComplete records that a request received a complete response.
 func (s *Server) recordComplete(q *request) {
 	if s.suspectShape(q) {
-		s.ApplyQuarantine(s.o.Quarantine.Answered(s.o.Clock.Now(), q.fingerprintOf()), "")
+		s.ApplyQuarantine(s.o.Quarantine.ObserveResponse(s.o.Clock.Now(), q.fingerprintOf()), "")
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,21 +1,23 @@
-// Package limit holds what upstreams take from all nodes together, where they name a rate, and says when
-// this node may send there.
+// Package limit tracks the request rates that upstreams state for all nodes together, and decides when
+// this node may send to them.
 //
-// A word is an upstream's own, in an answer: it names a rate, or by saying nothing lifts the one before. Nodes
-// tell each other words with their ages, and the newest holds. Of answers that overtake each other, one that
-// allows more is believed only if its request was sent after the word that it would replace was heard.
+// An observation is what an upstream stated in a response: it names a rate, or lifts the previous one by
+// naming none. Nodes exchange observations with their ages, and the latest one holds. When responses
+// overtake each other, one that allows more is accepted only if its request was sent after the
+// observation that it would replace.
 //
-// Nobody is asked for leave to send. Each node knows the rate and the other nodes, and so the few that share
-// the rate: those that come first by a hash of the upstream's and the node's name, as many as the rate gives a
-// share that is of use to one (share.go). The others send nothing there. What changes in between (nodes that
-// come and go, words on their way) costs a moment in which two lists differ; whoever comes to a share begins
-// with nothing saved, so that a share that moves isn't used twice.
+// No node asks for permission to send. Each node knows the rate and the other nodes, and so the few nodes
+// that share the rate: the first ones by a hash of the upstream and the node's name, as many as leave
+// each of them a useful share (share.go). The others send nothing there. While nodes come and go or
+// observations are under way, two nodes may use different lists for a moment; a node that gains a share
+// starts with nothing saved, so that a share that moves is not used twice.
 //
-// Weighed: a part of the rate for each node. With a rate below one request a node and a second, all save up for
-// a request at the same time, and what they may send together grows with the fleet and not with the rate.
-// Weighed, too: one node that hands out turns (a call before each request, and nobody while it is gone or cut off).
+// Alternatives considered: a part of the rate for each node (with a rate below one request a second per
+// node, all nodes save up for a request at the same time, and the burst they may send together grows with
+// the fleet instead of the rate); one node that hands out turns (a call before each request, and no
+// sending while that node is down or partitioned off).
 //
-// The package is pure: time comes in.
+// The package reads no clock: callers pass times in.
 package limit
 
 import (
@@ -26,149 +28,158 @@
 )
 
 const (
-	// wordKeeps is how long a word holds that no answer renews: nodes that share a rate ask in less.
-	wordKeeps = time.Minute
-	// wordFresh is the difference of age from which the same word counts as renewed: what it takes to hand
-	// a word on makes it look younger, and handed on in a circle it would never grow old.
-	wordFresh = time.Second
-	// wordsMost bounds the upstreams that are remembered.
-	wordsMost = 1024
-	// rateLeast is the rate at which one that takes nothing, or next to nothing, is asked all the same: only its
-	// answers tell when that is over.
-	rateLeast = 0.1 // requests a second
+	// observationTTL is how long an observation holds without a response that renews it: the nodes that
+	// share a rate send requests more often than that.
+	observationTTL = time.Minute
+	// renewalThreshold is the difference in age from which an equal observation counts as renewed. The
+	// time that forwarding takes makes an observation look younger; without the threshold one that is
+	// forwarded in a circle would never expire.
+	renewalThreshold = time.Second
+	// maxObservations bounds the upstreams that are remembered.
+	maxObservations = 1024
+	// minRate is the rate at which requests are sent to an upstream that allows none or next to none: only
+	// its responses tell when that is over.
+	minRate = 0.1 // requests per second
 )
 
-// Word is what is known of one upstream.
-type Word struct {
-	Of     retry.Incarnation
-	Rate   float64 // requests a second, from all nodes together
-	Lifted bool    // it names no rate any more
-	At     time.Time
+// Observation is the latest rate that an upstream stated.
+type Observation struct {
+	Upstream retry.Incarnation
+	Rate     float64 // requests per second, from all nodes together
+	Lifted   bool    // the upstream no longer names a rate
+	At       time.Time
 }
 
-// valid tells whether a word can be meant.
-func (w Word) valid() bool { return w.Of.ID != "" && w.Rate >= 0 && !math.IsInf(w.Rate, 0) }
+// valid reports whether an observation names an upstream and a rate that is finite and not negative.
+func (o Observation) valid() bool {
+	return o.Upstream.ID != "" && o.Rate >= 0 && !math.IsInf(o.Rate, 0)
+}
 
-// same tells whether two words say the same.
-func (w Word) same(o Word) bool { return w.Lifted == o.Lifted && (w.Lifted || w.Rate == o.Rate) }
+// same reports whether two observations state the same rate, or none.
+func (o Observation) same(p Observation) bool {
+	return o.Lifted == p.Lifted && (o.Lifted || o.Rate == p.Rate)
+}
 
-// Book is what one node knows. It isn't safe for concurrent use.
-type Book struct {
-	self    string
-	nodes   []string // that may send, this one included
-	placers []string // those of them that choose engines for all others; empty: each node chooses
-	version uint64   // of both
-	known   map[retry.Incarnation]*known
-	sharers func(rate float64, nodes int) int
+// Tracker holds the observations and shares of one node. It isn't safe for concurrent use.
+type Tracker struct {
+	self        string
+	nodes       []string // that may send, this one included
+	placers     []string // of these, the nodes that choose engines for all others; empty: each node chooses
+	version     uint64   // of nodes and placers
+	upstreams   map[retry.Incarnation]*upstream
+	sharerCount func(rate float64, nodes int) int
 }
 
-// known is one upstream's word, and this node's part of it.
-type known struct {
-	Word
+// upstream is the observation of one upstream, and this node's share of its rate.
+type upstream struct {
+	Observation
 	share share
 }
 
-// NewBook returns the book of a node that knows of no other one.
-func NewBook(self string) *Book {
-	return &Book{self: self, nodes: []string{self}, version: 1, known: make(map[retry.Incarnation]*known), sharers: sharers}
+// NewTracker returns the tracker of a node that knows no other nodes.
+func NewTracker(self string) *Tracker {
+	return &Tracker{self: self, nodes: []string{self}, version: 1, upstreams: make(map[retry.Incarnation]*upstream), sharerCount: sharerCount}
 }
 
-// Named takes in an answer that names a rate, to a request that was sent at a time, and returns whether that
-// is news.
-func (b *Book) Named(now, sent time.Time, of retry.Incarnation, rate float64) bool {
-	w := Word{Of: of, Rate: rate, At: now}
-	old := b.known[of]
-	if !w.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
+// ObserveRate records a response that names a rate, to a request sent at the given time, and reports
+// whether that is a change.
+func (t *Tracker) ObserveRate(now, sent time.Time, of retry.Incarnation, rate float64) bool {
+	o := Observation{Upstream: of, Rate: rate, At: now}
+	old := t.upstreams[of]
+	if !o.valid() || old != nil && !old.Lifted && rate > old.Rate && !sent.After(old.At) {
 		return false
 	}
-	return b.learn(w)
+	return t.replace(o)
 }
 
-// Unnamed takes in an answer that names none, and returns whether that is news.
-func (b *Book) Unnamed(now, sent time.Time, of retry.Incarnation) bool {
-	old := b.known[of]
+// ObserveNoRate records a response that names no rate, and reports whether that is a change.
+func (t *Tracker) ObserveNoRate(now, sent time.Time, of retry.Incarnation) bool {
+	old := t.upstreams[of]
 	if old == nil || old.Lifted || !sent.After(old.At) {
 		return false
 	}
-	return b.learn(Word{Of: of, Lifted: true, At: now})
+	return t.replace(Observation{Upstream: of, Lifted: true, At: now})
 }
 
-// Hear takes in what another node knows, and returns what is news.
-func (b *Book) Hear(now time.Time, words []Word) []Word {
-	var news []Word
-	for _, w := range words {
-		if !w.valid() || now.Sub(w.At) > wordKeeps || w.At.After(now) {
+// Merge applies the observations of another node and returns those that changed something.
+func (t *Tracker) Merge(now time.Time, list []Observation) []Observation {
+	var changed []Observation
+	for _, o := range list {
+		if !o.valid() || now.Sub(o.At) > observationTTL || o.At.After(now) {
 			continue
 		}
-		old := b.known[w.Of]
-		if old == nil && w.Lifted || old != nil && (!w.At.After(old.At) || old.same(w) && w.At.Sub(old.At) < wordFresh) {
+		old := t.upstreams[o.Upstream]
+		if old == nil && o.Lifted || old != nil && (!o.At.After(old.At) || old.same(o) && o.At.Sub(old.At) < renewalThreshold) {
 			continue
 		}
-		if b.learn(w) {
-			news = append(news, w)
+		if t.replace(o) {
+			changed = append(changed, o)
 		}
 	}
-	return news
+	return changed
 }
 
-// learn puts a word in the place of the one before, and returns whether it says something else.
-func (b *Book) learn(w Word) bool {
-	k := b.known[w.Of]
+// replace stores an observation in place of the previous one and reports whether it states something
+// else.
+func (t *Tracker) replace(o Observation) bool {
+	k := t.upstreams[o.Upstream]
 	if k == nil {
-		b.forget(w.At)
-		k = &known{Word: Word{Of: w.Of, Lifted: true}}
-		b.known[w.Of] = k
+		t.prune(o.At)
+		k = &upstream{Observation: Observation{Upstream: o.Upstream, Lifted: true}}
+		t.upstreams[o.Upstream] = k
 	}
-	news := !k.same(w)
-	if news && k.Lifted {
+	changed := !k.same(o)
+	if changed && k.Lifted {
 		k.share = share{} // nothing is saved up from a time without a limit
 	}
-	k.Word = w
-	return news
+	k.Observation = o
+	return changed
 }
 
-// Forget drops the word of one life that is over, where its name may be the next one's, too.
-func (b *Book) Forget(of retry.Incarnation) { delete(b.known, of) }
+// Forget drops the observation of an upstream incarnation that has ended, where the next incarnation may
+// have the same name.
+func (t *Tracker) Forget(of retry.Incarnation) { delete(t.upstreams, of) }
 
-// forget drops what no answer has renewed, and the oldest word if there are too many.
-func (b *Book) forget(now time.Time) {
-	var oldest *known
-	for of, k := range b.known {
-		if now.Sub(k.At) > wordKeeps {
-			delete(b.known, of)
+// prune drops observations that no response has renewed, and the oldest one if there are too many.
+func (t *Tracker) prune(now time.Time) {
+	var oldest *upstream
+	for of, k := range t.upstreams {
+		if now.Sub(k.At) > observationTTL {
+			delete(t.upstreams, of)
 		} else if oldest == nil || k.At.Before(oldest.At) {
 			oldest = k
 		}
 	}
-	if len(b.known) >= wordsMost {
-		delete(b.known, oldest.Of)
+	if len(t.upstreams) >= maxObservations {
+		delete(t.upstreams, oldest.Upstream)
 	}
 }
 
-// Words returns what is known, for other nodes.
-func (b *Book) Words(now time.Time) []Word {
-	b.forget(now)
-	list := make([]Word, 0, len(b.known))
-	for _, k := range b.known {
-		list = append(list, k.Word)
+// Observations returns all observations, for other nodes.
+func (t *Tracker) Observations(now time.Time) []Observation {
+	t.prune(now)
+	list := make([]Observation, 0, len(t.upstreams))
+	for _, k := range t.upstreams {
+		list = append(list, k.Observation)
 	}
 	return list
 }
 
-// Look returns the word that holds for an upstream, and what of its rate falls to this node, for who looks on.
-func (b *Book) Look(now time.Time, of retry.Incarnation) (w Word, share float64, named bool) {
-	if _, named = b.Rate(now, of); !named {
-		return Word{}, 0, false
+// Lookup returns the observation that holds for an upstream and this node's share of its rate, for
+// display.
+func (t *Tracker) Lookup(now time.Time, of retry.Incarnation) (o Observation, share float64, named bool) {
+	if _, named = t.Rate(now, of); !named {
+		return Observation{}, 0, false
 	}
-	k := b.known[of]
-	return k.Word, k.share.rate, true
+	k := t.upstreams[of]
+	return k.Observation, k.share.rate, true
 }
 
-// Rate returns the rate that an upstream names, if it does.
-func (b *Book) Rate(now time.Time, of retry.Incarnation) (float64, bool) {
-	k := b.known[of]
-	if k == nil || k.Lifted || now.Sub(k.At) > wordKeeps {
+// Rate returns the rate that an upstream names, if any.
+func (t *Tracker) Rate(now time.Time, of retry.Incarnation) (float64, bool) {
+	k := t.upstreams[of]
+	if k == nil || k.Lifted || now.Sub(k.At) > observationTTL {
 		return 0, false
 	}
-	return max(k.Rate, rateLeast), true
+	return max(k.Rate, minRate), true
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -120,7 +120,7 @@
 	versions      map[string]map[string]time.Time // when each was first seen, by service
 	listRead      bool                            // the list has been read
 	cooldowns     *retry.Cooldowns                // that upstreams asked this node for
-	limits        *limit.Book                     // that upstreams state for all nodes together
+	limits        *limit.Tracker                  // that upstreams state for all nodes together
 }
 
 // service is what is known of one service.
@@ -150,7 +150,7 @@
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
 		reports: make(map[string]peerReport), serviceStats: make(map[string]*service), lastResponse: make(map[string]time.Time),
-		partitionedAt: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), cooldowns: retry.NewCooldowns(), limits: limit.NewBook(node),
+		partitionedAt: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), cooldowns: retry.NewCooldowns(), limits: limit.NewTracker(node),
 	}
 }
 
--- a/internal/pool/statement.go
+++ b/internal/pool/statement.go
@@ -70,26 +70,26 @@
 	defer p.mu.Unlock()
 	switch l.Word {
 	case call.LimitNamed:
-		return p.limits.Named(p.clock.Now(), sent, e.Incarnation(), l.Rate)
+		return p.limits.ObserveRate(p.clock.Now(), sent, e.Incarnation(), l.Rate)
 	case call.LimitNone:
-		return p.limits.Unnamed(p.clock.Now(), sent, e.Incarnation())
+		return p.limits.ObserveNoRate(p.clock.Now(), sent, e.Incarnation())
 	case call.LimitUnclear, call.LimitUnheard:
 	}
 	return false
 }
 
 // ApplyLimits applies the limits that another node knows of, and returns those that are new.
-func (p *Pools) ApplyLimits(list []limit.Word) []limit.Word {
+func (p *Pools) ApplyLimits(list []limit.Observation) []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Hear(p.clock.Now(), list)
+	return p.limits.Merge(p.clock.Now(), list)
 }
 
 // Limits returns the known limits, for other nodes.
-func (p *Pools) Limits() []limit.Word {
+func (p *Pools) Limits() []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Words(p.clock.Now())
+	return p.limits.Observations(p.clock.Now())
 }
 
 // SetSenders sets which nodes share limits, and which of them place requests at engines for all others.
--- /dev/null
+++ b/internal/quarantine/tracker.go
@@ -0,0 +1,245 @@
+package quarantine
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// CrashThreshold is how many upstreams must have crashed under a request to quarantine it. Two are
+	// not enough: a request whose upstream stopped by chance is retried at once, and in a wave of
+	// reclaims the retry meets an upstream that is about to stop, too.
+	CrashThreshold = 3
+	// initialQuarantine is how long a request is quarantined the first time. Each further crash doubles
+	// it, up to maxQuarantine. Together with probeSpread the first quarantine of a harmless request stays
+	// within a minute.
+	initialQuarantine = 45 * time.Second
+	maxQuarantine     = time.Hour
+	// probeSpread is the span over which the nodes admit a request again, each at its own moment, so that
+	// the others know of the first probe before their own turn.
+	probeSpread = 15 * time.Second
+	// probeTimeout is how long all nodes wait for the outcome of a probe before another one is admitted.
+	// It is longer than a request waits at an upstream before it runs.
+	probeTimeout = 5 * time.Second
+	// sameCrashWindow is how far apart two reports of one crash may be. Reports carry an age, which omits
+	// the time that the message takes. An upstream needs some seconds to restart.
+	sameCrashWindow = 2 * time.Second
+	// suspectTTL is how long crashes below the threshold are remembered, quarantinedTTL how long a
+	// request is remembered after its quarantine.
+	suspectTTL     = 30 * time.Minute
+	quarantinedTTL = time.Hour
+	// clearedTTL is how long a response is remembered. Reports of crashes before it do not arrive later
+	// than that.
+	clearedTTL = time.Minute
+	// maxSuspects bounds the requests remembered (some 300 bytes each), maxCrashes the crashes of one
+	// request. When there are too many requests, evictionBatch of them are evicted at once.
+	maxSuspects   = 2048
+	evictionBatch = maxSuspects / 8
+	maxCrashes    = 32
+)
+
+// Crash is the crash of an upstream, as observed by one request.
+type Crash struct {
+	Fingerprint Fingerprint
+	Upstream    string
+	At          time.Time // when the request's connection broke
+}
+
+// same reports whether both are the same crash. An upstream may restart under its ID and crash again.
+func (e Crash) same(o Crash) bool {
+	return e.Upstream == o.Upstream && e.At.Sub(o.At).Abs() < sameCrashWindow
+}
+
+// suspect is a request under which upstreams crashed.
+type suspect struct {
+	crashes   []Crash   // sorted by time
+	updatedAt time.Time // when this last learned something new
+	clearedAt time.Time // when it last got a complete response; earlier crashes don't count
+	until     time.Time // end of the quarantine; zero: not quarantined
+	probedAt  time.Time // when this node or another one last admitted a probe
+}
+
+// Tracker holds what one process knows of requests that crash upstreams.
+type Tracker struct {
+	node string
+	size atomic.Int64 // number of suspects, readable without the lock
+
+	mu           sync.Mutex
+	suspects     map[Fingerprint]*suspect
+	shapes       map[Shape]*shapeState
+	shapeChanges []Change // of quarantined shapes, not yet returned
+	revision     int64    // rises with each change of the quarantined requests
+	stale        bool     // crashes that can quarantine a request have changed since the last evaluation
+}
+
+// NewTracker returns an empty tracker for a node.
+func NewTracker(node string) *Tracker {
+	return &Tracker{node: node, suspects: make(map[Fingerprint]*suspect), shapes: make(map[Shape]*shapeState)}
+}
+
+// Change reports that a request is quarantined, or no longer is.
+type Change struct {
+	Fingerprint Fingerprint
+	Quarantined bool
+	Until       time.Time
+	Upstreams   []string // that crashed under it
+	ByShape     bool     // concerns all requests of the shape
+}
+
+// HasCrashes reports whether crashes were observed under a request of the shape. Most processes know of
+// none; for these it takes no lock.
+func (t *Tracker) HasCrashes(r func() Shape) bool {
+	if t.size.Load() == 0 {
+		return false
+	}
+	s := r()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.shapes[s] != nil
+}
+
+// CrashCount returns how many crashes were observed under a request.
+func (t *Tracker) CrashCount(p Fingerprint) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.suspects[p]; s != nil {
+		return len(s.crashes)
+	}
+	return 0
+}
+
+// ObserveCrash records a crash that this process observed.
+func (t *Tracker) ObserveCrash(now time.Time, e Crash) []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addCrash(now, e)
+	return t.evaluate()
+}
+
+// addCrash records a crash and reports whether it is new.
+func (t *Tracker) addCrash(now time.Time, e Crash) bool {
+	s := t.suspects[e.Fingerprint]
+	if s == nil {
+		s = t.newSuspect(now, e.Fingerprint)
+	}
+	if e.At.Before(s.clearedAt.Add(sameCrashWindow)) {
+		return false // may be a crash from before the response, reported late
+	}
+	if slices.ContainsFunc(s.crashes, e.same) {
+		return false
+	}
+	s.crashes = append(s.crashes, e)
+	slices.SortFunc(s.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
+	if len(s.crashes) > maxCrashes {
+		s.crashes = slices.Delete(s.crashes, 0, 1)
+	}
+	t.touch(now, s)
+	t.addToShape(e)
+	return true
+}
+
+// addToShape counts a crash against all requests of its shape.
+func (t *Tracker) addToShape(e Crash) {
+	f := t.shapes[e.Fingerprint.Shape()]
+	if !f.add(e) {
+		return
+	}
+	c := Change{Fingerprint: e.Fingerprint, Quarantined: true, Until: f.until(), ByShape: true}
+	for _, v := range f.crashes {
+		c.Upstreams = append(c.Upstreams, v.Upstream)
+	}
+	t.shapeChanges = append(t.shapeChanges, c)
+}
+
+// touch records that something was learned about a request.
+func (t *Tracker) touch(now time.Time, s *suspect) {
+	s.updatedAt = now
+	t.stale = t.stale || len(s.crashes) >= CrashThreshold || !s.until.IsZero()
+}
+
+// newSuspect starts tracking a request. If there are too many, it evicts those with the weakest evidence.
+func (t *Tracker) newSuspect(now time.Time, p Fingerprint) *suspect {
+	if len(t.suspects) >= maxSuspects {
+		t.evict(now)
+	}
+	s := &suspect{}
+	t.suspects[p] = s
+	f := t.shapes[p.Shape()]
+	if f == nil {
+		f = &shapeState{}
+		t.shapes[p.Shape()] = f
+	}
+	f.suspects++
+	t.size.Store(int64(len(t.suspects)))
+	return s
+}
+
+// evict makes room: it removes what has expired and, if that is not enough, the requests with the fewest
+// crashes, among these the least recently updated ones.
+func (t *Tracker) evict(now time.Time) {
+	list := make([]Fingerprint, 0, len(t.suspects))
+	for p, s := range t.suspects {
+		if s.expired(now) {
+			t.remove(p)
+			continue
+		}
+		list = append(list, p)
+	}
+	slices.SortFunc(list, func(x, y Fingerprint) int {
+		v, w := t.suspects[x], t.suspects[y]
+		return cmp.Or(cmp.Compare(len(v.crashes), len(w.crashes)), v.updatedAt.Compare(w.updatedAt))
+	})
+	for _, p := range list[:max(0, len(list)-maxSuspects+evictionBatch)] {
+		t.remove(p)
+	}
+}
+
+func (s *suspect) expired(now time.Time) bool {
+	switch {
+	case len(s.crashes) == 0:
+		return now.Sub(s.clearedAt) > clearedTTL
+	case !s.until.IsZero():
+		return now.Sub(s.until) > quarantinedTTL
+	}
+	return now.Sub(s.updatedAt) > suspectTTL
+}
+
+func (t *Tracker) remove(p Fingerprint) {
+	delete(t.suspects, p)
+	f := t.shapes[p.Shape()]
+	if f.suspects--; f.suspects == 0 {
+		delete(t.shapes, p.Shape())
+	}
+	t.size.Store(int64(len(t.suspects)))
+}
+
+// ObserveResponse records that a request got a complete response, so it did not cause the crashes before.
+func (t *Tracker) ObserveResponse(now time.Time, p Fingerprint) []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.clear(now, p, now)
+	t.clearShape(Response{p, now})
+	return t.evaluate()
+}
+
+// clearShape records a response to a request of a shape: earlier crashes no longer count against the
+// shape.
+func (t *Tracker) clearShape(a Response) {
+	if f := t.shapes[a.Fingerprint.Shape()]; f != nil && f.observeResponse(a) {
+		t.shapeChanges = append(t.shapeChanges, Change{Fingerprint: a.Fingerprint, ByShape: true})
+	}
+}
+
+func (t *Tracker) clear(now time.Time, p Fingerprint, at time.Time) bool {
+	s := t.suspects[p]
+	if s == nil || at.Sub(s.clearedAt) < sameCrashWindow {
+		return false
+	}
+	s.clearedAt = at
+	t.touch(now, s)
+	s.crashes = slices.DeleteFunc(s.crashes, func(e Crash) bool { return e.At.Before(at.Add(sameCrashWindow)) })
+	return true
+}
