--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -19,7 +19,7 @@
 )
 
 // erasKV is a stand-in's keys as a store that may come back from a copy.
-func erasKV(k *standin.Keys, c *era.Clock) store.KV {
+func erasKV(k *standin.Keys, c *era.Tracker) store.KV {
 	return store.Dated(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) { return k.Range(key, end), nil },
 		Txn:   func(_ context.Context, t store.Txn) (store.TxnResult, error) { return k.Txn(t) },
@@ -41,8 +41,8 @@
 func newEraNode(t *testing.T) *eraNode {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	v := &eraNode{keys: standin.NewKeys(clock.Service()), clock: clock}
-	c := era.NewClock()
-	require.NoError(t, c.Hear(1))
+	c := era.NewTracker()
+	require.NoError(t, c.Observe(1))
 	v.Node = holder(t, erasKV(v.keys, c), clock.Service(), "a")
 	v.Node.era, v.Node.s = c, &Settings{Node: "a"}
 	v.Node.suspects = quarantine.NewBook("a")
@@ -54,7 +54,7 @@
 func (v *eraNode) giveBack(t *testing.T, c *standin.Copy) int64 {
 	t.Helper()
 	v.keys.Return(c)
-	require.NoError(t, v.Node.era.Hear(v.Node.era.Now()+1))
+	require.NoError(t, v.Node.era.Observe(v.Node.era.Current()+1))
 	return takeOver(t, v.Node)
 }
 
--- a/internal/edge/heard_test.go
+++ b/internal/edge/heard_test.go
@@ -24,7 +24,7 @@
 func TestNoAnswerSaysNothing(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{
-		Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock(),
+		Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker(),
 		Cached: func(context.Context, string) ([]call.Part, call.Response, error) {
 			return nil, call.Response{}, fault.Because(store.ErrUnknown, "connection refused")
 		},
@@ -43,7 +43,7 @@
 // TestUpstreamsAreShown: what operators are told of an upstream is what the node goes by.
 func TestUpstreamsAreShown(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
-	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 	for _, id := range []string{"a", "b", "c"} {
 		n.pools.Update(func(l *pool.List) {
 			l.Put(pool.Item{Entry: pool.Entry{ID: id, Service: "s", Address: "10.0.0.1:1", Hall: "h", Born: 5}, Revision: 1})
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -21,7 +21,7 @@
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	begin := func() (*Node, *timer.Manual) {
 		c := timer.NewManual(time.Unix(1_700_000_000, 0))
-		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 		n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
 		n.pools.HearLimit(e, call.Limit{Status: call.LimitNamed, Rate: 40}, n.start)
 		return n, c
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -52,7 +52,7 @@
 	Clock    *timer.Service
 	Log      *zap.Logger
 	KV       store.KV
-	Era      *era.Clock // hears of each answer of KV before it is returned
+	Era      *era.Tracker // hears of each answer of KV before it is returned
 	Cloud    duty.Cloud
 	Dialect  call.Dialect
 	// CatalogKey and EntryPrefix are where the store keeps the configuration and the
@@ -81,7 +81,7 @@
 	start    time.Time
 	guard    *store.Guard
 	kv       store.KV
-	era      *era.Clock
+	era      *era.Tracker
 	pools    *pool.Pools
 	lines    *forward.Lines
 	front    *forward.Server
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -22,7 +22,7 @@
 
 // suspiciousNode is a node that runs no duty, and what it knows.
 func suspiciousNode(name string, clock *timer.Manual) *Node {
-	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 }
 
 func (n *Node) sawEnds(count int) {
--- a/internal/era/era.go
+++ b/internal/era/era.go
@@ -24,8 +24,8 @@
 var errs = errorx.NewNamespace("era")
 
 var (
-	// ErrPast says that an answer is of an earlier era: it tells nothing of the store as it is.
-	ErrPast = errs.NewType("past").New("the answer is of an earlier era of the store")
+	// ErrEarlierEra says that an answer is of an earlier era: it tells nothing of the store as it is.
+	ErrEarlierEra = errs.NewType("past").New("the answer is of an earlier era of the store")
 	// ErrRange says that an era or a revision is too large to be ordered.
 	ErrRange = errs.NewType("range").New("the store's era or revision can't be ordered")
 )
@@ -54,49 +54,49 @@
 
 // Rise is a store's coming back from a copy.
 type Rise struct {
-	From, To int64
-	Before   int64 // newest of the store's numbers that was seen in the era before
+	From, To   int64
+	LastNumber int64 // newest of the store's numbers that was seen in the era before
 }
 
-// Clock knows a store's era. It is safe for concurrent use.
-type Clock struct {
+// Tracker knows a store's era. It is safe for concurrent use.
+type Tracker struct {
 	mu     sync.Mutex
 	now    int64
 	newest int64 // of the store's numbers in this era
 	tell   []func(Rise)
 }
 
-// NewClock returns a clock of a store that hasn't said its era.
-func NewClock() *Clock { return &Clock{} }
+// NewTracker returns a clock of a store that hasn't said its era.
+func NewTracker() *Tracker { return &Tracker{} }
 
 // OnRise names what is told of each rise, once. It is set before anything is heard. The era that the
 // first answer says is no rise.
-func (c *Clock) OnRise(f func(Rise)) { c.tell = append(c.tell, f) }
+func (c *Tracker) OnRise(f func(Rise)) { c.tell = append(c.tell, f) }
 
-// Now returns the newest era that was heard; 0: none.
-func (c *Clock) Now() int64 {
+// Current returns the newest era that was heard; 0: none.
+func (c *Tracker) Current() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Hear takes in the era that an answer says; 0: it says none, and counts as one of the era that is
+// Observe takes in the era that an answer says; 0: it says none, and counts as one of the era that is
 // known. An answer of an earlier era is ErrPast.
-func (c *Clock) Hear(era int64) error {
+func (c *Tracker) Observe(era int64) error {
 	if era < 0 || era > largest {
 		return ErrRange
 	}
 	c.mu.Lock()
 	if era != 0 && era < c.now {
 		c.mu.Unlock()
-		return ErrPast
+		return ErrEarlierEra
 	}
-	r := Rise{From: c.now, To: max(era, c.now), Before: c.newest}
+	r := Rise{From: c.now, To: max(era, c.now), LastNumber: c.newest}
 	if r.To > r.From {
 		c.now, c.newest = r.To, 0
 	}
 	c.mu.Unlock()
-	if r.To > r.From && (r.From != 0 || r.Before > 0) {
+	if r.To > r.From && (r.From != 0 || r.LastNumber > 0) {
 		for _, f := range c.tell {
 			f(r)
 		}
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// See notes a revision that an answer of the store says.
-func (c *Clock) See(revision int64) {
+// ObserveRevision notes a revision that an answer of the store says.
+func (c *Tracker) ObserveRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if Of(revision) == c.now {
@@ -113,9 +113,9 @@
 	}
 }
 
-// Within returns the store's own number of a revision, if it is one of that era. 0, which stands for
+// NumberIn returns the store's own number of a revision, if it is one of that era. 0, which stands for
 // absence, is one of each.
-func Within(era, revision int64) (int64, bool) {
+func NumberIn(era, revision int64) (int64, bool) {
 	if revision == 0 {
 		return 0, true
 	}
--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -34,13 +34,13 @@
 type holder struct {
 	name  string
 	lease *Lease
-	clock *era.Clock
+	clock *era.Tracker
 }
 
 // kv is a holder's way to the store: each answer says the era of the moment in which it was made.
-func (w *world) kv(c *era.Clock) store.KV {
+func (w *world) kv(c *era.Tracker) store.KV {
 	answer := func(e int64, err error) error {
-		if h := c.Hear(e); h != nil {
+		if h := c.Observe(e); h != nil {
 			return store.ErrUnknown
 		}
 		return err
@@ -125,7 +125,7 @@
 		w := &world{t: t, clock: timer.NewManual(time.Unix(1000, 0)), era: 1, by: make(map[int64]string)}
 		w.keys = standin.NewKeys(w.clock.Service())
 		begin := func(name string) *holder {
-			c := era.NewClock()
+			c := era.NewTracker()
 			h := &holder{name: name, clock: c}
 			h.lease = New(w.kv(c), w.clock.Service(), "duty", name, ttl)
 			c.OnRise(func(era.Rise) { h.lease.Forget() })
@@ -202,8 +202,8 @@
 	c := timer.NewManual(time.Unix(1000, 0))
 	w := &world{clock: c, keys: standin.NewKeys(c.Service()), era: 1}
 	copied := w.keys.Copy()
-	other := New(w.kv(era.NewClock()), c.Service(), "duty", "other", ttl)
-	known := era.NewClock()
+	other := New(w.kv(era.NewTracker()), c.Service(), "duty", "other", ttl)
+	known := era.NewTracker()
 	kv := w.kv(known)
 	take := kv.Txn
 	kv.Txn = func(ctx context.Context, x store.Txn) (store.TxnResult, error) {
@@ -212,7 +212,7 @@
 		w.keys.Return(copied)
 		w.era++
 		assert.NoError(t, other.Step(ctx))
-		assert.NoError(t, known.Hear(w.era)) // from another node
+		assert.NoError(t, known.Observe(w.era)) // from another node
 		return store.TxnResult{}, store.ErrUnknown
 	}
 	l := New(kv, c.Service(), "duty", "h", ttl)
