--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -53,7 +53,7 @@
 type Tally struct {
 	Counts    map[string]int64
 	Processes int  // that the counts are of
-	Whole     bool // every node has been heard since the window ended
+	Complete  bool // every node has been heard since the window ended
 }
 
 // Order states how many upstreams of a service a hall should have.
@@ -82,14 +82,14 @@
 	// Resign gives the lease up.
 	Resign func()
 	// Window names the window of a time, End says when a window ends.
-	Window func(t time.Time) int64
-	End    func(window int64) time.Time
+	Window    func(t time.Time) int64
+	WindowEnd func(window int64) time.Time
 	// Counts returns what is known of a window.
 	Counts func(window int64) Tally
-	// Doubted tells whether the store may have lost how a window was settled; nil: it never does.
-	Doubted func(window int64) bool
-	// Late is how long after its end a window's report is due.
-	Late time.Duration
+	// MaybeReported tells whether the store may have lost how a window was settled; nil: it never does.
+	MaybeReported func(window int64) bool
+	// Deadline is how long after its end a window's report is due.
+	Deadline time.Duration
 }
 
 const (
@@ -145,14 +145,14 @@
 }
 
 func (r *Reporter) due(now time.Time, w int64) bool {
-	age := now.Sub(r.o.End(w))
+	age := now.Sub(r.o.WindowEnd(w))
 	if age < wholeAfter {
 		return false
 	}
-	if r.o.Counts(w).Whole {
+	if r.o.Counts(w).Complete {
 		return true
 	}
-	return age >= time.Duration(settledShare*float64(r.o.Late))
+	return age >= time.Duration(settledShare*float64(r.o.Deadline))
 }
 
 func (r *Reporter) failed(w int64, err error) {
@@ -174,7 +174,7 @@
 		return err
 	}
 	r.o.Log.Info("usage_reported", zap.Int64("window", w), zap.Int64("token", token), logging.Counts("counts", v.Counts), zap.Int("processes", v.Processes),
-		zap.Duration("after_end", r.o.Clock.Wall().Sub(r.o.End(w))))
+		zap.Duration("after_end", r.o.Clock.Wall().Sub(r.o.WindowEnd(w))))
 	return nil
 }
 
@@ -197,7 +197,7 @@
 		}
 		return v, err
 	case !ok:
-		if r.o.Doubted != nil && r.o.Doubted(w) {
+		if r.o.MaybeReported != nil && r.o.MaybeReported(w) {
 			return Report{}, errDoubted
 		}
 		c := r.o.Counts(w)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -50,7 +50,7 @@
 func (d *desk) reporter() *Reporter {
 	c := d.clock.Service()
 	return NewReporter(Options{
-		Clock: c, Log: zap.NewNop(), KV: d.kv, Late: 10 * time.Second,
+		Clock: c, Log: zap.NewNop(), KV: d.kv, Deadline: 10 * time.Second,
 		Cloud: Cloud{Report: func(_ context.Context, _ int64, r Report) error {
 			d.taken[r.Window] = append(d.taken[r.Window], r.Counts)
 			if r.Window != newest {
@@ -61,9 +61,9 @@
 			return err
 		}},
 		Token: func() (int64, bool) { return d.token, d.held }, Resign: func() { d.held = false },
-		Window: func(t time.Time) int64 { return t.Unix() / 5 },
-		End:    func(w int64) time.Time { return time.Unix(5*(w+1), 0) },
-		Counts: func(int64) Tally { return d.tally }, Doubted: func(int64) bool { return d.doubted },
+		Window:    func(t time.Time) int64 { return t.Unix() / 5 },
+		WindowEnd: func(w int64) time.Time { return time.Unix(5*(w+1), 0) },
+		Counts:    func(int64) Tally { return d.tally }, MaybeReported: func(int64) bool { return d.doubted },
 	})
 }
 
@@ -83,7 +83,7 @@
 		d.clock.Advance(wholeAfter)
 		r.Step(ctx)
 		assert.Empty(t, d.taken[newest])
-		d.tally.Whole = true
+		d.tally.Complete = true
 		r.Step(ctx)
 		r.Step(ctx)
 		d.assertReported(one)
@@ -99,7 +99,7 @@
 	t.Run("a report without an answer is repeated to the letter", func(t *testing.T) {
 		d := newDesk(t)
 		r := d.reporter()
-		d.tally, d.err = Tally{Counts: one, Whole: true}, store.ErrUnknown
+		d.tally, d.err = Tally{Counts: one, Complete: true}, store.ErrUnknown
 		d.clock.Advance(wholeAfter)
 		r.Step(ctx)
 		d.tally.Counts = map[string]int64{"w": 2}
@@ -109,7 +109,7 @@
 	})
 	t.Run("so it is by a successor that counted otherwise", func(t *testing.T) {
 		d := newDesk(t)
-		d.tally = Tally{Counts: one, Whole: true}
+		d.tally = Tally{Counts: one, Complete: true}
 		d.clock.Advance(wholeAfter)
 		d.reporter().Step(ctx)
 		d.tally.Counts, d.token = map[string]int64{"w": 9}, 2
@@ -119,7 +119,7 @@
 	t.Run("who settled a window writes it again as it was when the store has lost it", func(t *testing.T) {
 		d := newDesk(t)
 		r := d.reporter()
-		d.tally = Tally{Counts: one, Whole: true}
+		d.tally = Tally{Counts: one, Complete: true}
 		d.clock.Advance(wholeAfter)
 		r.Step(ctx)
 		d.lose(newest)
@@ -129,7 +129,7 @@
 	})
 	t.Run("who has read it, too", func(t *testing.T) {
 		d := newDesk(t)
-		d.tally = Tally{Counts: one, Whole: true}
+		d.tally = Tally{Counts: one, Complete: true}
 		d.clock.Advance(wholeAfter)
 		d.reporter().Step(ctx)
 		r := d.reporter()
@@ -142,7 +142,7 @@
 	})
 	t.Run("another reports none that may have been", func(t *testing.T) {
 		d := newDesk(t)
-		d.tally = Tally{Counts: one, Whole: true}
+		d.tally = Tally{Counts: one, Complete: true}
 		d.clock.Advance(wholeAfter)
 		d.reporter().Step(ctx)
 		d.lose(newest)
@@ -152,7 +152,7 @@
 	})
 	t.Run("a refused token ends the term", func(t *testing.T) {
 		d := newDesk(t)
-		d.tally, d.err = Tally{Counts: one, Whole: true}, ErrFenced
+		d.tally, d.err = Tally{Counts: one, Complete: true}, ErrFenced
 		d.clock.Advance(wholeAfter)
 		r := d.reporter()
 		r.Step(ctx)
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -23,8 +23,8 @@
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
 		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, End: n.usage.End, Counts: n.counts, Late: n.s.UsageLate,
-		Doubted: func(w int64) bool { return e.doubts(n.usage.End(w)) },
+		Window: n.usage.Window, WindowEnd: n.usage.End, Counts: n.counts, Deadline: n.s.UsageLate,
+		MaybeReported: func(w int64) bool { return e.doubts(n.usage.End(w)) },
 	})
 	n.lease.Observe(func(err error) {
 		if !errors.Is(err, lease.ErrTaken) {
@@ -84,5 +84,5 @@
 			whole = false
 		}
 	}
-	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Whole: whole}
+	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Complete: whole}
 }
