--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -26,7 +26,7 @@
 		Window: n.usage.Window, WindowEnd: n.usage.End, Counts: n.counts, Deadline: n.s.UsageLate,
 		MaybeReported: func(w int64) bool { return e.doubts(n.usage.End(w)) },
 	})
-	n.lease.Observe(func(err error) {
+	n.lease.OnError(func(err error) {
 		if !errors.Is(err, lease.ErrTaken) {
 			_, held := n.lease.Token()
 			n.log.Info("lease_step_failed", zap.String("lease", dutyKey), zap.Bool("held", held), zap.String("cause", err.Error()))
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -59,9 +59,9 @@
 	return &Lease{kv: kv, clock: clock, key: key, owner: owner, ttl: ttl}
 }
 
-// Observe names what is called with each error that a step of Run ends with, ErrTaken
+// OnError names what is called with each error that a step of Run ends with, ErrTaken
 // included. It is set before Run.
-func (l *Lease) Observe(f func(err error)) { l.watch = f }
+func (l *Lease) OnError(f func(err error)) { l.watch = f }
 
 // Token returns the fencing token, and whether the lease is held by the holder's own
 // clock. It is asked for right before each order.
