--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -94,7 +94,7 @@
 	waiting   map[string]chan bool
 	change    uint64
 	refreshed time.Duration
-	list      []member.Seen
+	list      []member.Record
 	cands     []route.Candidate
 	moving    map[string]*move // streams, by request id
 	rests     *retry.Rests     // that upstreams have asked of this node
@@ -156,7 +156,7 @@
 
 // refreshLocked brings the list of upstreams and the number of slots up to date.
 func (p *pool) refreshLocked() {
-	c, now := p.d.o.Table.Upstreams(), p.d.now()
+	c, now := p.d.o.Table.UpstreamsVersion(), p.d.now()
 	if c == p.change && p.list != nil && now-p.refreshed < refreshEvery {
 		return
 	}
@@ -290,7 +290,7 @@
 	for i := range p.cands {
 		c, f := &p.cands[i], &p.list[i]
 		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Left(at, retry.Lifetime{ID: c.ID}) > 0
-		c.LoadAge = at.Sub(f.At)
+		c.LoadAge = at.Sub(f.ReceivedAt)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
 		if v := p.flights[c.ID]; v != nil {
 			c.InFlight = v.now
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -114,9 +114,9 @@
 	start := time.Unix(1000, 0)
 	f := Fact{ID: "a", Address: "x", Incarnation: 1, Status: StatusLive}
 	table.Observe(start, f)
-	_, next := table.Since(Peer{ID: "p", Far: true}, 10)
+	_, next := table.Since(Peer{ID: "p", OtherHall: true}, 10)
 	far := func() []Fact {
-		l, n := table.Since(Peer{ID: "p", Far: true, Sent: next}, 10)
+		l, n := table.Since(Peer{ID: "p", OtherHall: true, Sent: next}, 10)
 		next = n
 		return l
 	}
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -39,17 +39,17 @@
 // SetSlow says otherwise.
 const slowEvery = 20 * time.Second
 
-// SetSlow sets how often a mere change of load or heartbeat goes to other halls.
-func (t *Table) SetSlow(d time.Duration) {
+// SetSlowInterval sets how often a mere change of load or heartbeat goes to other halls.
+func (t *Table) SetSlowInterval(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.slow = d
 }
 
-// Seen is a fact with the time of this node at which its newest report came.
-type Seen struct {
+// Record is a fact with the time of this node at which its newest report came.
+type Record struct {
 	Fact
-	At time.Time
+	ReceivedAt time.Time
 }
 
 // NewTable returns an empty table. onChange is called, outside the lock, for
@@ -149,26 +149,26 @@
 }
 
 // Get returns what is known about one VM.
-func (t *Table) Get(id string) (Seen, bool) {
+func (t *Table) Get(id string) (Record, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	e := t.entries[id]
 	if e == nil {
-		return Seen{}, false
+		return Record{}, false
 	}
-	return Seen{Fact: e.fact, At: e.seen}, true
+	return Record{Fact: e.fact, ReceivedAt: e.seen}, true
 }
 
 // Select returns the facts that keep accepts, ordered by id.
-func (t *Table) Select(keep func(f *Fact) bool) []Seen {
-	return t.SelectSeen(func(f *Fact, _ time.Time) bool { return keep(f) })
+func (t *Table) Select(keep func(f *Fact) bool) []Record {
+	return t.SelectRecords(func(f *Fact, _ time.Time) bool { return keep(f) })
 }
 
 // Peer is who facts are sent to.
 type Peer struct {
-	ID   string
-	Far  bool   // in another hall
-	Sent uint64 // position up to which it has everything
+	ID        string
+	OtherHall bool   // in another hall
+	Sent      uint64 // position up to which it has everything
 }
 
 // Since returns the facts that a peer doesn't have yet, and the position to ask from
@@ -204,14 +204,14 @@
 }
 
 func (e *entry) position(p *Peer) uint64 {
-	if p.Far {
+	if p.OtherHall {
 		return e.slow
 	}
 	return e.change
 }
 
-// Upstreams returns a number that changes whenever anything of an upstream does.
-func (t *Table) Upstreams() uint64 {
+// UpstreamsVersion returns a number that changes whenever anything of an upstream does.
+func (t *Table) UpstreamsVersion() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.upstreams
@@ -233,13 +233,13 @@
 	return n
 }
 
-// SelectSeen is Select for conditions that need the time of the newest report, too.
-func (t *Table) SelectSeen(keep func(f *Fact, at time.Time) bool) []Seen {
+// SelectRecords is Select for conditions that need the time of the newest report, too.
+func (t *Table) SelectRecords(keep func(f *Fact, at time.Time) bool) []Record {
 	t.mu.RLock()
-	var r []Seen
+	var r []Record
 	for _, e := range t.entries {
 		if keep(&e.fact, e.seen) {
-			r = append(r, Seen{Fact: e.fact, At: e.seen})
+			r = append(r, Record{Fact: e.fact, ReceivedAt: e.seen})
 		}
 	}
 	t.mu.RUnlock()
@@ -247,8 +247,8 @@
 	return r
 }
 
-// Nodes returns a number that changes whenever a node comes or changes its status.
-func (t *Table) Nodes() uint64 {
+// NodesVersion returns a number that changes whenever a node comes or changes its status.
+func (t *Table) NodesVersion() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.nodes
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	listed         map[string]bool
 	open           map[string]string // open jobs of the journal and their owners, if followed
 	sequence       uint64
-	live           []member.Seen // see liveNodes
+	live           []member.Record // see liveNodes
 	liveAt         time.Time
 	liveNodesKnown uint64
 	paced          atomic.Pointer[pace]
@@ -273,22 +273,22 @@
 	exchangesSilent = 8
 )
 
-func (n *Node) liveNodes() []member.Seen {
+func (n *Node) liveNodes() []member.Record {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.live != nil && now.Sub(n.liveAt) < liveFor && n.table.Nodes() == n.liveNodesKnown {
+	if n.live != nil && now.Sub(n.liveAt) < liveFor && n.table.NodesVersion() == n.liveNodesKnown {
 		return n.live
 	}
 	near := n.silentAfter()
-	n.live = n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
+	n.live = n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
 		limit := near
 		if f.Hall != n.o.Hall {
 			limit += 2 * n.pace().slow
 		}
 		return f.Kind == member.KindNode && f.Status == member.StatusLive && (f.ID == n.id || now.Sub(at) < limit)
 	})
-	n.liveAt, n.liveNodesKnown = now, n.table.Nodes()
+	n.liveAt, n.liveNodesKnown = now, n.table.NodesVersion()
 	return n.live
 }
 
