--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -168,7 +168,7 @@
 		n := len(strings.Fields(t)) + 1
 		last := i == len(texts)-1
 		if last && i > 0 {
-			p.Reusable = p.Tokens
+			p.ReusableTokens = p.Tokens
 		}
 		p.Tokens += n
 		b.WriteString(roles[i])
@@ -177,9 +177,9 @@
 		b.WriteByte('\n')
 		if roles[i] == "user" && !user {
 			user = true
-			p.Own = route.HashID(b.String())
+			p.Conversation = route.HashID(b.String())
 		}
 	}
-	p.Reusable = max(p.Reusable, p.SharedTokens)
+	p.ReusableTokens = max(p.ReusableTokens, p.SharedTokens)
 	return p
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -300,7 +300,7 @@
 			}
 		}
 	}
-	p.router.Weigh(s.Weights.Cost, s.Weights.Recompute)
+	p.router.SetWeights(s.Weights.Cost, s.Weights.Recompute)
 	c := p.router.Pick(prompt, p.cands)
 	if c.Index < 0 {
 		return target{}, false
@@ -334,7 +334,7 @@
 	t := d.Seconds() / float64(tokens)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.router.Learn(d)
+	p.router.ObserveService(d)
 	smooth(&p.perToken, t)
 	if v := p.flights[id]; v != nil {
 		smooth(&v.perToken, t)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -87,23 +87,23 @@
 
 // Prompt is what the router knows of a prompt. Hash 0 means none.
 type Prompt struct {
-	Shared       uint64 // prefix that many callers share
-	SharedTokens int
-	Own          uint64 // prefix that stays the same through the conversation
-	Reusable     int    // tokens that an upstream which had the last turn would have cached
-	Tokens       int
-	MaxTokens    int
-	Batch        bool // may wait, so money counts in full
+	Shared         uint64 // prefix that many callers share
+	SharedTokens   int
+	Conversation   uint64 // prefix that stays the same through the conversation
+	ReusableTokens int    // tokens that an upstream which had the last turn would have cached
+	Tokens         int
+	MaxTokens      int
+	Batch          bool // may wait, so money counts in full
 }
 
 // Options sets a router. Rates are the pool's, as an estimate.
 type Options struct {
-	Policy      Policy
-	Prefill     time.Duration // per token not cached
-	Service     time.Duration // of one request in a slot, on average
-	Spread      int           // fixed size of the set that holds a shared prefix; 0: by its share of the work
-	CostWeight  float64       // milliseconds of delay that one unit of money is worth
-	TokenWeight float64       // milliseconds of delay that one recomputed token is worth, beside its prefill
+	Policy          Policy
+	PrefillPerToken time.Duration // per token not cached
+	ServiceTime     time.Duration // of one request in a slot, on average
+	SetSize         int           // fixed size of the set that holds a shared prefix; 0: by its share of the work
+	CostWeight      float64       // milliseconds of delay that one unit of money is worth
+	TokenWeight     float64       // milliseconds of delay that one recomputed token is worth, beside its prefill
 }
 
 // Reason says what decided.
@@ -146,24 +146,24 @@
 	if o.Policy == "" {
 		o.Policy = PolicyAffinity
 	}
-	if o.Prefill == 0 {
-		o.Prefill = defaultPrefill
+	if o.PrefillPerToken == 0 {
+		o.PrefillPerToken = defaultPrefill
 	}
-	if o.Service == 0 {
-		o.Service = defaultService
+	if o.ServiceTime == 0 {
+		o.ServiceTime = defaultService
 	}
 	return &Router{o: o, work: make(map[uint64]float64), random: 0x9e3779b97f4a7c15}
 }
 
-// Weigh sets the weights of the workspace that the next choices are for.
-func (r *Router) Weigh(cost, token float64) { r.o.CostWeight, r.o.TokenWeight = cost, token }
+// SetWeights sets the weights of the workspace that the next choices are for.
+func (r *Router) SetWeights(cost, token float64) { r.o.CostWeight, r.o.TokenWeight = cost, token }
 
 // serviceGain weighs a new measurement of the service time.
 const serviceGain = 0.02
 
-// Learn takes in how long a request held its slot.
-func (r *Router) Learn(d time.Duration) {
-	r.o.Service += time.Duration(serviceGain * float64(d-r.o.Service))
+// ObserveService takes in how long a request held its slot.
+func (r *Router) ObserveService(d time.Duration) {
+	r.o.ServiceTime += time.Duration(serviceGain * float64(d-r.o.ServiceTime))
 }
 
 // Pick chooses among the candidates.
@@ -201,7 +201,7 @@
 		cached := r.cached(p, i, home)
 		cost := r.cost(p, c, cached, cheapest)
 		if i == home {
-			cost -= homeBonus + homeShare*float64(p.Tokens)*ms(r.o.Prefill)
+			cost -= homeBonus + homeShare*float64(p.Tokens)*ms(r.o.PrefillPerToken)
 		}
 		if cost < best.Cost {
 			best.Index, best.Cost = i, cost
@@ -236,10 +236,10 @@
 func (r *Router) cached(p *Prompt, i, home int) float64 {
 	n := 0.0
 	if p.Shared != 0 && r.inSet[i] {
-		n = float64(p.SharedTokens) + atNext*float64(p.Reusable-p.SharedTokens)
+		n = float64(p.SharedTokens) + atNext*float64(p.ReusableTokens-p.SharedTokens)
 	}
 	if i == home {
-		n = math.Max(n, float64(p.Reusable))
+		n = math.Max(n, float64(p.ReusableTokens))
 	}
 	return n
 }
@@ -255,10 +255,10 @@
 
 // setSize is the number of upstreams that hold a shared prefix.
 func (r *Router) setSize(p *Prompt, n int) int {
-	if r.o.Spread > 0 {
-		return r.o.Spread
+	if r.o.SetSize > 0 {
+		return r.o.SetSize
 	}
-	w := float64(p.Tokens-p.Reusable) + answerWeight*float64(p.MaxTokens)
+	w := float64(p.Tokens-p.ReusableTokens) + answerWeight*float64(p.MaxTokens)
 	r.work[p.Shared] += w
 	r.total += w
 	if r.total > workLimit {
@@ -289,12 +289,12 @@
 func (r *Router) homes(p *Prompt, list []Candidate) int {
 	home := -1
 	r.inSet = append(r.inSet[:0], make([]bool, len(list))...)
-	if p.Shared == 0 && p.Own == 0 {
+	if p.Shared == 0 && p.Conversation == 0 {
 		return home
 	}
 	key, n := p.Shared, r.setSize(p, len(list))
 	if key == 0 {
-		key, n = p.Own, 1
+		key, n = p.Conversation, 1
 	}
 	least := r.threshold(key, n, list)
 	var top uint64
@@ -303,7 +303,7 @@
 			continue
 		}
 		r.inSet[i] = true
-		if w := weight(p.Own, list[i].Hash); home < 0 || w > top {
+		if w := weight(p.Conversation, list[i].Hash); home < 0 || w > top {
 			home, top = i, w
 		}
 	}
@@ -351,15 +351,15 @@
 
 func (r *Router) cost(p *Prompt, c *Candidate, cached, cheapest float64) float64 {
 	missing := float64(p.Tokens) - cached
-	prefill := missing * ms(r.o.Prefill)
+	prefill := missing * ms(r.o.PrefillPerToken)
 	slow := slowness(c)
-	service := ms(r.o.Service) * slow
+	service := ms(r.o.ServiceTime) * slow
 	prefill *= slow
-	cost := r.wait(c)*slow + prefill + 2*ms(c.Distance) + missing*r.o.TokenWeight + service - ms(r.o.Service)
+	cost := r.wait(c)*slow + prefill + 2*ms(c.Distance) + missing*r.o.TokenWeight + service - ms(r.o.ServiceTime)
 	// A reclaim during this request loses the prompt and half the answer.
 	risk := c.ReclaimRate * service / msPerHour
 	lost := float64(p.Tokens) + float64(p.MaxTokens)/2
-	cost += risk * lost * (ms(r.o.Prefill) + r.o.TokenWeight)
+	cost += risk * lost * (ms(r.o.PrefillPerToken) + r.o.TokenWeight)
 	hours := (prefill + service) / msPerHour / float64(max(c.Slots, 1))
 	money := r.o.CostWeight * hours * (c.Price - cheapest)
 	if !p.Batch {
@@ -384,7 +384,7 @@
 	load := known*fade + math.Max(float64(c.InFlight), known/2)*(1-fade)
 	load = math.Max(load, float64(c.InFlight))
 	slots := float64(max(c.Slots, 1))
-	service := ms(r.o.Service)
+	service := ms(r.o.ServiceTime)
 	return service/slots*shortfall(load-slots+1) + busyWeight*service*load/slots
 }
 
