--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -37,7 +37,7 @@
 const (
 	DecisionRun Decision = iota
 	DecisionWait
-	DecisionRefuse
+	DecisionReject
 )
 
 // Cause says why a request was refused.
@@ -59,7 +59,7 @@
 	Rate     float64 // requests a second; 0: no limit
 	InFlight int
 	Queue    int
-	Share    float64 // weight in the fair queue
+	Weight   float64 // weight in the fair queue
 }
 
 // Request is one request offered.
@@ -68,7 +68,7 @@
 	Workspace string
 	Class     Class
 	Limits    Limits
-	Size      float64       // expected slot time in units of an average request
+	Cost      float64       // expected slot time in units of an average request
 	MaxWait   time.Duration // refused if it would wait longer
 }
 
@@ -81,9 +81,9 @@
 
 // Options sets a controller.
 type Options struct {
-	Reserve float64       // share of the slots that batch never takes
-	Service time.Duration // of an average request, until measured
-	FIFO    bool          // baseline: one queue, no classes, no early refusal
+	BatchReserve float64       // share of the slots that batch never takes
+	ServiceTime  time.Duration // of an average request, until measured
+	FIFO         bool          // baseline: one queue, no classes, no early refusal
 }
 
 // Controller admits to one pool.
@@ -123,11 +123,11 @@
 
 // New returns a controller with no slots.
 func New(o Options) *Controller {
-	if o.Service == 0 {
-		o.Service = time.Second
+	if o.ServiceTime == 0 {
+		o.ServiceTime = time.Second
 	}
 	return &Controller{
-		o: o, service: o.Service.Seconds(), spaces: make(map[string]*space),
+		o: o, service: o.ServiceTime.Seconds(), spaces: make(map[string]*space),
 		waiting: make(map[string]*item), active: make(map[string]*item),
 	}
 }
@@ -157,7 +157,7 @@
 // Offer asks for a request to be run.
 func (c *Controller) Offer(now time.Duration, r Request) Verdict {
 	s := c.space(r.Workspace)
-	if v := c.check(now, s, &r); v.Decision == DecisionRefuse {
+	if v := c.check(now, s, &r); v.Decision == DecisionReject {
 		return v
 	}
 	it := &item{r: r, at: now, serial: c.serial, deadline: now + r.MaxWait}
@@ -166,7 +166,7 @@
 		c.admit(now, s, it)
 		return Verdict{Decision: DecisionRun}
 	}
-	if v := c.mayWait(s, &r); v.Decision == DecisionRefuse {
+	if v := c.mayWait(s, &r); v.Decision == DecisionReject {
 		return v
 	}
 	c.enqueue(s, it)
@@ -174,7 +174,7 @@
 }
 
 func refuse(c Cause, after time.Duration) Verdict {
-	return Verdict{Decision: DecisionRefuse, Cause: c, RetryAfter: max(after, minRetryAfter)}
+	return Verdict{Decision: DecisionReject, Cause: c, RetryAfter: max(after, minRetryAfter)}
 }
 
 const minRetryAfter = 100 * time.Millisecond
@@ -206,8 +206,8 @@
 	return time.Duration(c.service * float64(time.Second))
 }
 
-// Room returns the slots that requests share here, and how many of these end a second where all slots are taken.
-func (c *Controller) Room() (slots, perSecond float64) {
+// Capacity returns the slots that requests share here, and how many of these end a second where all slots are taken.
+func (c *Controller) Capacity() (slots, perSecond float64) {
 	return c.slots, c.slots / max(c.service, leastService)
 }
 
@@ -225,7 +225,7 @@
 
 // reserved is the part of the reserve that live work doesn't use already.
 func (c *Controller) reserved() float64 {
-	return math.Max(0, c.o.Reserve*c.slots-float64(c.running[ClassLive]))
+	return math.Max(0, c.o.BatchReserve*c.slots-float64(c.running[ClassLive]))
 }
 
 func (c *Controller) mayWait(s *space, r *Request) Verdict {
@@ -271,7 +271,7 @@
 		it.finish = float64(it.serial)
 	} else {
 		start := math.Max(c.virtual[k], s.finish[k])
-		it.finish = start + math.Max(it.r.Size, 0.01)/math.Max(it.r.Limits.Share, 0.01)
+		it.finish = start + math.Max(it.r.Cost, 0.01)/math.Max(it.r.Limits.Weight, 0.01)
 		s.finish[k] = it.finish
 	}
 	s.queued[k]++
@@ -322,9 +322,9 @@
 	return -1
 }
 
-// Unserved says that an admitted request found no upstream, so that its end tells nothing of the service time: callers
+// MarkUnserved says that an admitted request found no upstream, so that its end tells nothing of the service time: callers
 // that are turned away at once would make waits look short that aren't.
-func (c *Controller) Unserved(id string) {
+func (c *Controller) MarkUnserved(id string) {
 	if it := c.active[id]; it != nil {
 		it.unserved = true
 	}
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -95,8 +95,8 @@
 
 func admission(d *Dispatcher, id, workspace string, s *config.Service, size float64, deadline time.Time) admit.Request {
 	r := admit.Request{
-		ID: id, Workspace: workspace, Size: size,
-		Limits:  admit.Limits{Rate: s.Limits.RequestsPerSecond, InFlight: s.Limits.InFlight, Queue: s.Limits.Queue, Share: s.Share},
+		ID: id, Workspace: workspace, Cost: size,
+		Limits:  admit.Limits{Rate: s.Limits.RequestsPerSecond, InFlight: s.Limits.InFlight, Queue: s.Limits.Queue, Weight: s.Share},
 		MaxWait: time.Duration(s.LatencyTarget),
 	}
 	if s.Class == config.ClassBatch {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -142,7 +142,7 @@
 			d: d, name: name,
 			router:    route.New(route.Options{Policy: d.o.Policy}),
 			outliers:  retry.NewOutliers(ejectedShare),
-			admission: admit.New(admit.Options{Reserve: liveReserve}),
+			admission: admit.New(admit.Options{BatchReserve: liveReserve}),
 			budget:    retry.NewBudget(retryShare, retryFloor),
 			flights:   make(map[string]*flight),
 			waiting:   make(map[string]chan bool),
@@ -228,7 +228,7 @@
 	switch v.Decision {
 	case admit.DecisionRun:
 		return func() { p.leave(r.ID) }, nil
-	case admit.DecisionRefuse:
+	case admit.DecisionReject:
 		return nil, &Refusal{cause: string(v.Cause), after: v.RetryAfter}
 	}
 	return p.wait(ctx, r, c)
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -18,14 +18,14 @@
 func (p *pool) nobody(id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.admission.Unserved(id)
+	p.admission.MarkUnserved(id)
 	list := make([]retry.Lifetime, len(p.list))
 	for i := range p.list {
 		list[i] = retry.Lifetime{ID: p.list[i].ID}
 	}
 	now, after := p.d.o.Clock.Now(), returnsAfter
 	if rest := p.rests.Soonest(now, list); rest > 0 {
-		slots, perSecond := p.admission.Room()
+		slots, perSecond := p.admission.Capacity()
 		after = p.turns.Take(now, rest, slots, perSecond)
 	}
 	return &Refusal{cause: errNobody.Error(), after: after, nobody: true}
--- a/internal/measure/limits_test.go
+++ b/internal/measure/limits_test.go
@@ -176,7 +176,7 @@
 	a.c.began = a.at
 	v.serial++
 	key := fmt.Sprint(v.serial)
-	q := admit.Request{ID: key, Workspace: a.c.space, Size: 1, MaxWait: liveTarget, Limits: admit.Limits{Share: 1}}
+	q := admit.Request{ID: key, Workspace: a.c.space, Cost: 1, MaxWait: liveTarget, Limits: admit.Limits{Weight: 1}}
 	if a.c.batch {
 		q.Class, q.MaxWait = admit.ClassBatch, time.Minute
 	}
@@ -186,7 +186,7 @@
 	switch {
 	case d.Decision == admit.DecisionRun:
 		v.start(a.at, []string{key})
-	case d.Decision == admit.DecisionRefuse:
+	case d.Decision == admit.DecisionReject:
 		delete(v.waiting, key)
 		heap.Push(&v.q, arrival{at: a.at + d.RetryAfter.Seconds()*(1+v.r.Float64()), c: a.c})
 	case !a.c.batch:
@@ -199,8 +199,8 @@
 }
 
 var (
-	withLimits = admit.Options{Reserve: 0.25, Service: time.Second}
-	oneQueue   = admit.Options{Service: time.Second, FIFO: true}
+	withLimits = admit.Options{BatchReserve: 0.25, ServiceTime: time.Second}
+	oneQueue   = admit.Options{ServiceTime: time.Second, FIFO: true}
 )
 
 func TestGoodputUnderOverload(t *testing.T) {
