--- a/internal/autoscale/mix.go
+++ b/internal/autoscale/mix.go
@@ -73,7 +73,7 @@
 // docs/DECISIONS.md has the trials.
 func MixDefaults(boot time.Duration) MixOptions {
 	return MixOptions{
-		Busy: capacity.Work{Reading: 0.75, Slots: 0.9, Memory: 0.9}, Spare: 2,
+		Busy: capacity.Work{Prefill: 0.75, Slots: 0.9, Memory: 0.9}, Spare: 2,
 		Calm: boot + calmBeyond, Hold: boot + holdBeyond,
 	}
 }
@@ -129,7 +129,7 @@
 // process, so that whichever gives orders next knows of the need and the notices of the last
 // seconds.
 func (m *Mix) Observe(now time.Duration, load capacity.Work, halls []HallState) {
-	need, binds := load.Unhurried(ready(halls)).Engines(m.o.Busy)
+	need, binds := load.Uncontended(ready(halls)).Engines(m.o.Busy)
 	m.binds = binds
 	m.hold(now, need)
 	m.find(now, halls)
--- a/internal/autoscale/mix_test.go
+++ b/internal/autoscale/mix_test.go
@@ -13,7 +13,7 @@
 const boot = 4 * time.Second
 
 // nearly7 is a load for which six upstreams aren't enough.
-var nearly7 = 6.15 * MixDefaults(boot).Busy.Reading
+var nearly7 = 6.15 * MixDefaults(boot).Busy.Prefill
 
 var mixSpec = MixSpec{Min: 1, Max: 6, ReclaimablePrice: 0.22}
 
@@ -26,7 +26,7 @@
 }
 
 // reading is work that only has to be read.
-func reading(x float64) capacity.Work { return capacity.Work{Reading: x} }
+func reading(x float64) capacity.Work { return capacity.Work{Prefill: x} }
 
 // plan observes a moment and plans for it.
 func plan(m *Mix, now time.Duration, load float64, s MixSpec, halls []HallState) []Count {
@@ -112,7 +112,7 @@
 		h := threeHalls(1, 3)
 		h[0].Reclaimable, h[0].Leaving = 0, 3
 		m.Refused(time.Second, "a")
-		n, r := sums(plan(m, time.Second, 3.1*MixDefaults(boot).Busy.Reading, mixSpec, h))
+		n, r := sums(plan(m, time.Second, 3.1*MixDefaults(boot).Busy.Prefill, mixSpec, h))
 		assert.Equal(t, 4, n)
 		assert.GreaterOrEqual(t, r, 9, "reclaimable ones take the place of what was found")
 	})
@@ -132,11 +132,11 @@
 		m.Observe(now, reading(6), h)
 		m.Observe(now+time.Second, reading(1), threeHalls(3, 0))
 		n, _ := sums(m.Plan(now+time.Second, mixSpec, threeHalls(3, 0)))
-		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Reading, 6.0)
+		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Prefill, 6.0)
 	})
 	t.Run("the need is the highest of a while", func(t *testing.T) {
 		m, now := loaded(2, threeHalls(1, 0))
-		high, _ := sums(plan(m, now, 9.2*MixDefaults(boot).Busy.Reading, mixSpec, threeHalls(1, 0)))
+		high, _ := sums(plan(m, now, 9.2*MixDefaults(boot).Busy.Prefill, mixSpec, threeHalls(1, 0)))
 		assert.Greater(t, high, 9)
 		n, _ := sums(plan(m, now+MixDefaults(boot).Hold, 2, mixSpec, threeHalls(1, 0)))
 		assert.Equal(t, high, n)
@@ -155,7 +155,7 @@
 		h := threeHalls(1, 4)
 		h[0].Reclaimable, h[0].Leaving = 0, 4
 		n, _ := sums(plan(m, now, 4, mixSpec, h))
-		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Reading, 4.0)
+		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Prefill, 4.0)
 		now += MixDefaults(boot).Calm + time.Second
 		n, _ = sums(plan(m, now, 4, mixSpec, threeHalls(3, 4)))
 		assert.Equal(t, leastOnDemand, n)
@@ -188,8 +188,8 @@
 		}
 	})
 	t.Run("the cheapest halls get the odd ones", func(t *testing.T) {
-		m, now := loaded(4*MixDefaults(boot).Busy.Reading, threeHalls(3, 0))
-		for _, c := range plan(m, now, 4*MixDefaults(boot).Busy.Reading, mixSpec, threeHalls(3, 0)) {
+		m, now := loaded(4*MixDefaults(boot).Busy.Prefill, threeHalls(3, 0))
+		for _, c := range plan(m, now, 4*MixDefaults(boot).Busy.Prefill, mixSpec, threeHalls(3, 0)) {
 			assert.Equal(t, map[string]int{"a": 2, "b": 1, "c": 1}[c.Hall], c.OnDemand, c.Hall)
 		}
 	})
@@ -304,7 +304,7 @@
 	}
 	spec := MixSpec{Min: 0, Max: 40, ReclaimablePrice: 0.22}
 	inC := func(m *Mix, now time.Duration, h []HallState) int {
-		for _, c := range plan(m, now, 24*MixDefaults(boot).Busy.Reading, spec, h) {
+		for _, c := range plan(m, now, 24*MixDefaults(boot).Busy.Prefill, spec, h) {
 			if c.Hall == "c" {
 				return c.OnDemand
 			}
--- a/internal/autoscale/rate.go
+++ b/internal/autoscale/rate.go
@@ -60,7 +60,7 @@
 		}
 		v.take(s)
 		if now.Sub(s.At) <= silent {
-			all = all.Plus(v.value.Times(1 / max(v.weight, leastWeight)))
+			all = all.Add(v.value.Scale(1 / max(v.weight, leastWeight)))
 		}
 	}
 	return all
@@ -69,15 +69,15 @@
 // take takes in what was heard. A sum that became smaller belongs to a new process.
 func (v *nodeRate) take(s Sum) {
 	d := s.At.Sub(v.last.At).Seconds()
-	grown := s.Value.Plus(v.last.Value.Times(-1))
+	grown := s.Value.Add(v.last.Value.Scale(-1))
 	if d <= 0 {
 		return
 	}
 	v.last = s
-	if grown.Reading < 0 || grown.Slots < 0 || grown.Memory < 0 {
+	if grown.Prefill < 0 || grown.Slots < 0 || grown.Memory < 0 {
 		return
 	}
 	gain := d / (d + rateHalf.Seconds())
-	v.value = v.value.Times(1 - gain).Plus(grown.Times(gain / d))
+	v.value = v.value.Scale(1 - gain).Add(grown.Scale(gain / d))
 	v.weight += gain * (1 - v.weight)
 }
--- a/internal/autoscale/rate_test.go
+++ b/internal/autoscale/rate_test.go
@@ -28,12 +28,12 @@
 	for i := 0; i < steps; i++ {
 		c.now = c.now.Add(rateStep)
 		for _, n := range heard {
-			c.sums[n] = Sum{c.sums[n].Value.Plus(reading(each)), c.now}
+			c.sums[n] = Sum{c.sums[n].Value.Add(reading(each)), c.now}
 		}
 		for n := range unheard {
 			unheard[n] += each
 		}
-		c.value = c.r.Take(c.now, map[string]Sum{"a": c.sums["a"], "b": c.sums["b"]}, 6*rateStep).Reading
+		c.value = c.r.Take(c.now, map[string]Sum{"a": c.sums["a"], "b": c.sums["b"]}, 6*rateStep).Prefill
 	}
 }
 
@@ -80,7 +80,7 @@
 	t.Run("what was done unheard isn't the work of the moment", func(t *testing.T) {
 		c, unheard := newCrowd(0, 0), map[string]float64{"b": 0}
 		c.run(100, 100, nil, "a", "b")
-		unheard["b"] = c.sums["b"].Value.Reading
+		unheard["b"] = c.sums["b"].Value.Prefill
 		c.run(24, 100, unheard, "a")
 		c.sums["b"] = Sum{reading(unheard["b"]), c.now}
 		c.run(2, 100, nil, "a", "b")
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -46,17 +46,17 @@
 	priorFirst   = 50.0 // milliseconds
 )
 
-// FirstEvent is when a first event is due, in milliseconds after the send, if so many
+// FirstEventDelay is when a first event is due, in milliseconds after the send, if so many
 // tokens are read before it.
-func (e Engine) FirstEvent(tokens float64) float64 {
+func (e Engine) FirstEventDelay(tokens float64) float64 {
 	if e.Reading <= 0 {
 		return priorFirst + tokens/priorReading
 	}
 	return e.First + tokens/e.Reading
 }
 
-// Read is how many milliseconds reading so many tokens takes.
-func (e Engine) Read(tokens float64) float64 {
+// PrefillTime is how many milliseconds reading so many tokens takes.
+func (e Engine) PrefillTime(tokens float64) float64 {
 	if e.Reading <= 0 {
 		return tokens / priorReading
 	}
@@ -65,19 +65,19 @@
 
 // Work is what requests take of engines, in engines kept busy for a second each.
 type Work struct {
-	Reading float64 // seconds of reading
+	Prefill float64 // seconds of reading
 	Slots   float64 // seconds of a slot, over the slots of an engine
 	Memory  float64 // tokens held for a second, over the tokens that an engine holds
 }
 
-// Plus returns the sum of both.
-func (w Work) Plus(v Work) Work {
-	return Work{Reading: w.Reading + v.Reading, Slots: w.Slots + v.Slots, Memory: w.Memory + v.Memory}
+// Add returns the sum of both.
+func (w Work) Add(v Work) Work {
+	return Work{Prefill: w.Prefill + v.Prefill, Slots: w.Slots + v.Slots, Memory: w.Memory + v.Memory}
 }
 
-// Times returns x times as much.
-func (w Work) Times(x float64) Work {
-	return Work{Reading: x * w.Reading, Slots: x * w.Slots, Memory: x * w.Memory}
+// Scale returns x times as much.
+func (w Work) Scale(x float64) Work {
+	return Work{Prefill: x * w.Prefill, Slots: x * w.Slots, Memory: x * w.Memory}
 }
 
 // Resource is what an engine runs out of first.
@@ -85,7 +85,7 @@
 
 // The resources.
 const (
-	ResourceReading Resource = iota
+	ResourcePrefill Resource = iota
 	ResourceSlots
 	ResourceMemory
 )
@@ -103,11 +103,11 @@
 // those whose slots are taken add up. The larger of both alone is too few engines where both
 // bind, as in a wave of reclaims.
 func (w Work) Engines(shares Work) (float64, Resource) {
-	n, binds := w.Reading/shares.Reading, ResourceReading
-	if v := w.Reading + w.Slots/shares.Slots; v > n {
+	n, binds := w.Prefill/shares.Prefill, ResourcePrefill
+	if v := w.Prefill + w.Slots/shares.Slots; v > n {
 		n, binds = v, ResourceSlots
 	}
-	if v := w.Reading + w.Memory/shares.Memory; v > n {
+	if v := w.Prefill + w.Memory/shares.Memory; v > n {
 		n, binds = v, ResourceMemory
 	}
 	return n, binds
@@ -117,14 +117,14 @@
 // was measured is a queue and no speed.
 const mostReading = 0.8
 
-// Unhurried is the work as it would be on engines that did nothing else, where it was
+// Uncontended is the work as it would be on engines that did nothing else, where it was
 // measured on so many engines: what they read has held up what ran there.
-func (w Work) Unhurried(engines int) Work {
+func (w Work) Uncontended(engines int) Work {
 	if engines == 0 {
 		return w
 	}
-	free := 1 - min(w.Reading/float64(engines), mostReading)
-	return Work{Reading: w.Reading, Slots: w.Slots * free, Memory: w.Memory * free}
+	free := 1 - min(w.Prefill/float64(engines), mostReading)
+	return Work{Prefill: w.Prefill, Slots: w.Slots * free, Memory: w.Memory * free}
 }
 
 // Size is what an engine has, as configured. 0: unknown, and taken for no bound.
@@ -140,8 +140,8 @@
 	if !e.Known() {
 		return Work{}
 	}
-	w := Work{Reading: e.Read(read) / 1000}
-	held := (e.FirstEvent(read) + e.Token*output) / 1000
+	w := Work{Prefill: e.PrefillTime(read) / 1000}
+	held := (e.FirstEventDelay(read) + e.Token*output) / 1000
 	if s.Slots > 0 {
 		w.Slots = held / float64(s.Slots)
 	}
@@ -189,9 +189,9 @@
 	output float64 // tokens that could have gone out in them, fading
 }
 
-// First takes in a first event: so many tokens were to be read before it, by what was known
+// ObserveFirst takes in a first event: so many tokens were to be read before it, by what was known
 // when the request was sent.
-func (l *Learner) First(now time.Time, tokens float64, after time.Duration) {
+func (l *Learner) ObserveFirst(now time.Time, tokens float64, after time.Duration) {
 	v := sample{now, tokens, float64(after) / float64(time.Millisecond)}
 	if len(l.ring) < samplesKept {
 		l.ring = append(l.ring, v)
@@ -201,8 +201,8 @@
 	l.next = (l.next + 1) % samplesKept
 }
 
-// Last takes in the whole rest of an answer, of which at most so many tokens could go out.
-func (l *Learner) Last(output float64, after time.Duration) {
+// ObserveRest takes in the whole rest of an answer, of which at most so many tokens could go out.
+func (l *Learner) ObserveRest(output float64, after time.Duration) {
 	if output <= 0 {
 		return
 	}
@@ -211,9 +211,9 @@
 	l.engine.Token = l.spent / l.output
 }
 
-// Recall takes in what was known before this process began, unless it has learned by itself.
+// Restore takes in what was known before this process began, unless it has learned by itself.
 // The first fit takes its place.
-func (l *Learner) Recall(e Engine) {
+func (l *Learner) Restore(e Engine) {
 	if l.engine.Reading == 0 {
 		l.engine.Reading, l.engine.First = e.Reading, e.First
 	}
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -269,7 +269,7 @@
 	}
 	e := o.n.pools.Engine(s.service)
 	o.n.log.Info("order", zap.String("service", s.service), zap.String("hall", s.hall), zap.Bool("reclaimable", s.reclaimable), zap.Int("count", count),
-		zap.Int("have", have[s]), zap.Float64("load", hundredths(load.Reading)), zap.Float64("slots", hundredths(load.Slots)), zap.Float64("memory", hundredths(load.Memory)),
+		zap.Int("have", have[s]), zap.Float64("load", hundredths(load.Prefill)), zap.Float64("slots", hundredths(load.Slots)), zap.Float64("memory", hundredths(load.Memory)),
 		zap.Stringer("binds", m.Binds()), zap.Float64("reading", hundredths(e.Reading)), zap.Float64("first_ms", hundredths(e.First)), zap.Float64("token_ms", hundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
 }
 
@@ -285,7 +285,7 @@
 	}
 	for name, x := range map[string]float64{
 		"reading": e.Reading, "first_ms": e.First, "token_ms": e.Token, "samples": float64(e.Samples),
-		"load_reading": load.Reading, "load_slots": load.Slots, "load_memory": load.Memory,
+		"load_reading": load.Prefill, "load_slots": load.Slots, "load_memory": load.Memory,
 	} {
 		f, ok := v.Get(name).(*expvar.Float)
 		if !ok {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -259,7 +259,7 @@
 	r.Trials = message.TrialsToWire(n.words())
 	r.Started = message.StartedToWire(n.newest(n.usage.Own(), windows))
 	for v, w := range n.pools.Work() {
-		r.Work = append(r.Work, &wire.Work{Service: v, Reading: w.Reading, Slots: w.Slots, Memory: w.Memory})
+		r.Work = append(r.Work, &wire.Work{Service: v, Reading: w.Prefill, Slots: w.Slots, Memory: w.Memory})
 	}
 	for v, e := range n.pools.Learned() {
 		r.Engines = append(r.Engines, &wire.Engine{Service: v, Reading: e.Reading, First: e.First, Token: e.Token, Samples: int32(e.Samples)})
@@ -316,7 +316,7 @@
 	n.hearWords(now, p.trials, r.Node)
 	p.work = make(map[string]capacity.Work, len(r.Work))
 	for _, v := range r.Work {
-		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
+		p.work[v.Service] = capacity.Work{Prefill: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
 	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
 	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
--- a/internal/pool/choose.go
+++ b/internal/pool/choose.go
@@ -134,7 +134,7 @@
 		over := c.Held + n.Prompt + n.Output - memoryShare*c.Memory
 		tokens += memoryWeight * math.Max(0, over)
 	}
-	return wait + e.Read(tokens) + occupiedMs*c.occupied()
+	return wait + e.PrefillTime(tokens) + occupiedMs*c.occupied()
 }
 
 // occupied is the share of slots that are taken.
@@ -184,7 +184,7 @@
 
 // drained is what is left of a queue of tokens that was reported a while ago.
 func drained(e capacity.Engine, tokens float64, age time.Duration) float64 {
-	waits := e.Read(tokens)
+	waits := e.PrefillTime(tokens)
 	if waits <= 0 {
 		return 0
 	}
--- a/internal/pool/learn.go
+++ b/internal/pool/learn.go
@@ -41,7 +41,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(service)
-	s.learner.Recall(e)
+	s.learner.Restore(e)
 	s.merged = time.Time{}
 }
 
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -86,7 +86,7 @@
 	u.untried = m.rank != notRanked && !p.splits[n.Service].ToTarget
 	u.held = n.Prompt + n.Output
 	u.output, u.reads = n.Output, v.choice.Queued+u.prompt
-	u.expect = v.engine.FirstEvent(u.reads)
+	u.expect = v.engine.FirstEventDelay(u.reads)
 	if n.placed != m.entry.ID {
 		u.turn = true
 		p.limits.Take(now, m.entry.Lifetime(), n.Engine)
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -93,7 +93,7 @@
 	switch {
 	case u.untried:
 	case u.engine && u.fetch == "":
-		s.learner.First(u.first, u.reads, after)
+		s.learner.ObserveFirst(u.first, u.reads, after)
 	case !u.engine:
 		s.answer += answerGain * (ms - s.answer)
 	}
@@ -156,7 +156,7 @@
 	s, now := u.p.service(u.entry.Service), u.p.clock.Now()
 	s.lasts += answerGain * (float64(now.Sub(u.begun))/float64(time.Millisecond) - s.lasts)
 	if u.engine && !u.first.IsZero() && !u.untried {
-		s.learner.Last(u.output, now.Sub(u.first))
+		s.learner.ObserveRest(u.output, now.Sub(u.first))
 	}
 }
 
@@ -168,7 +168,7 @@
 		*untaken -= d
 		*work += x - d
 	}
-	less(&s.work.Reading, &s.untaken.Reading, w.Reading)
+	less(&s.work.Prefill, &s.untaken.Prefill, w.Prefill)
 	less(&s.work.Slots, &s.untaken.Slots, w.Slots)
 	less(&s.work.Memory, &s.untaken.Memory, w.Memory)
 }
@@ -179,7 +179,7 @@
 	}
 	if r == ResultUnreachable || r == ResultRefused || r == ResultGone {
 		s := u.p.service(u.entry.Service)
-		s.untaken = s.untaken.Plus(u.work)
+		s.untaken = s.untaken.Add(u.work)
 	}
 	o := u.p.outlier(u.m.entry.Service)
 	now, id := u.p.clock.Now(), u.m.entry.ID
