--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -53,10 +53,10 @@
 	defer cancel()
 	for _, s := range plan {
 		m := moves[s.Index]
-		switch s.Act {
-		case reclaim.ActStay:
+		switch s.Action {
+		case reclaim.ActionStay:
 			continue
-		case reclaim.ActExport:
+		case reclaim.ActionExport:
 			p.export(x, f, m)
 		}
 		p.mu.Lock()
@@ -94,10 +94,10 @@
 		done := m.chat.Record.Len()
 		s := reclaim.Stream{
 			Live: m.chat.Service.Class == config.ClassLive, Tokens: m.chat.Prompt.Tokens + done,
-			Left: m.chat.MaxTokens - done, Weight: 1 + m.chat.Service.Weights.Recompute,
+			MaxRemaining: m.chat.MaxTokens - done, Weight: 1 + m.chat.Service.Weights.Recompute,
 		}
 		if done > 0 {
-			s.PerToken = now.Sub(m.begun) / time.Duration(done)
+			s.TokenTime = now.Sub(m.begun) / time.Duration(done)
 		}
 		moves, list = append(moves, m), append(list, s)
 	}
--- a/internal/measure/limits_test.go
+++ b/internal/measure/limits_test.go
@@ -307,14 +307,14 @@
 					list := make([]reclaim.Stream, 64)
 					for k := range list {
 						list[k] = reclaim.Stream{
-							Live: r.Intn(3) > 0, Tokens: 100 + r.Intn(1000)*(1+r.Intn(5)), Left: 50 + r.Intn(2000),
-							PerToken: 30 * time.Millisecond, Weight: []float64{1.05, 1.5}[r.Intn(2)],
+							Live: r.Intn(3) > 0, Tokens: 100 + r.Intn(1000)*(1+r.Intn(5)), MaxRemaining: 50 + r.Intn(2000),
+							TokenTime: 30 * time.Millisecond, Weight: []float64{1.05, 1.5}[r.Intn(2)],
 						}
 					}
 					o := c.o
 					o.Notice = notice
 					for _, s := range reclaim.Plan(list, o) {
-						if s.Act == reclaim.ActResume {
+						if s.Action == reclaim.ActionResume {
 							v := list[s.Index]
 							again += float64(v.Tokens)
 							weighted += v.Weight * float64(v.Tokens)
--- a/internal/reclaim/reclaim.go
+++ b/internal/reclaim/reclaim.go
@@ -14,29 +14,29 @@
 	"time"
 )
 
-// Act is what to do with a stream.
-type Act int
+// Action is what to do with a stream.
+type Action int
 
 // The acts.
 const (
-	ActStay   Act = iota // it ends in time
-	ActExport            // export its KV cache, then resume elsewhere
-	ActResume            // resume elsewhere, which computes it again
+	ActionStay   Action = iota // it ends in time
+	ActionExport               // export its KV cache, then resume elsewhere
+	ActionResume               // resume elsewhere, which computes it again
 )
 
 // Stream is a stream on the leaving upstream.
 type Stream struct {
-	Live     bool
-	Tokens   int           // in its KV cache
-	Left     int           // tokens at most still to come
-	PerToken time.Duration // time between its tokens; 0: not known
-	Weight   float64       // what a recomputed token is worth to its workspace
+	Live         bool
+	Tokens       int           // in its KV cache
+	MaxRemaining int           // tokens at most still to come
+	TokenTime    time.Duration // time between its tokens; 0: not known
+	Weight       float64       // what a recomputed token is worth to its workspace
 }
 
 // Step is one thing to do, in order.
 type Step struct {
-	Index int
-	Act   Act
+	Index  int
+	Action Action
 }
 
 // Options sets the plan.
@@ -71,8 +71,8 @@
 	budget := time.Duration(usable * float64(o.Notice))
 	for i := range list {
 		s := &list[i]
-		if s.PerToken > 0 && s.PerToken*time.Duration(s.Left) < budget {
-			steps = append(steps, Step{i, ActStay})
+		if s.TokenTime > 0 && s.TokenTime*time.Duration(s.MaxRemaining) < budget {
+			steps = append(steps, Step{i, ActionStay})
 			continue
 		}
 		order = append(order, i)
@@ -84,11 +84,11 @@
 	for _, i := range order {
 		cost := o.transfer(&list[i])
 		if o.NoExports || list[i].Tokens < fewTokens || cost > budget {
-			late = append(late, Step{i, ActResume})
+			late = append(late, Step{i, ActionResume})
 			continue
 		}
 		budget -= cost
-		steps = append(steps, Step{i, ActExport})
+		steps = append(steps, Step{i, ActionExport})
 	}
 	// What can't be exported leaves at once, before the exports begin.
 	return append(late, steps...)
