--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -23,8 +23,8 @@
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
 		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, WindowEnd: n.usage.End, Counts: n.counts, Deadline: n.s.UsageLate,
-		MaybeReported: func(w int64) bool { return e.doubts(n.usage.End(w)) },
+		Window: n.usage.Window, WindowEnd: n.usage.WindowEnd, Counts: n.counts, Deadline: n.s.UsageLate,
+		MaybeReported: func(w int64) bool { return e.doubts(n.usage.WindowEnd(w)) },
 	})
 	n.lease.OnError(func(err error) {
 		if !errors.Is(err, lease.ErrTaken) {
@@ -76,7 +76,7 @@
 func (n *Node) counts(window int64) duty.Tally {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	end := n.usage.End(window)
+	end := n.usage.WindowEnd(window)
 	now, since := n.clock.Now(), n.clock.Wall().Sub(end)
 	whole := true
 	for _, p := range n.peers.peers {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -107,7 +107,7 @@
 	repeats map[string]*retry.Window
 	shared  time.Time // when the quotas' present span began
 	looked  bool      // the registry of the nodes has been read
-	usage   *usage.Book
+	usage   *usage.Tracker
 	peers   *table
 	notes   notes
 	book    *relay.Book     // what this node knows as a relay
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -319,7 +319,7 @@
 		p.work[v.Service] = capacity.Work{Prefill: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
 	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
-	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
+	n.usage.Merge(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
 
@@ -359,7 +359,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range a.Msg.Reports {
-		n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
+		n.usage.Merge(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	}
 }
 
@@ -396,7 +396,7 @@
 	}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	s.n.usage.Others(func(node, lifetime string, w usage.Windows) {
+	s.n.usage.EachOther(func(node, lifetime string, w usage.Windows) {
 		a.Reports = append(a.Reports, &wire.NodeReport{Node: node, Lifetime: lifetime, Started: message.StartedToWire(w)})
 	})
 	return connect.NewResponse(a), nil
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -278,7 +278,7 @@
 	g := message.GroupFromWire(w)
 	n.book.TakeIn(now, g)
 	for _, c := range g.Changes {
-		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		n.usage.Merge(c.Node, c.Lifetime, c.Started)
 	}
 	if n.home == n.s.Node {
 		shares := n.book.Shares(now, n.s.Node)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -43,7 +43,7 @@
 
 	book  *Book
 	view  View
-	usage *usage.Book
+	usage *usage.Tracker
 	words map[string]Word // of the last digest
 	share []pool.Share
 }
@@ -137,7 +137,7 @@
 	n.book.Away(h.name)
 	f.calls[n.name]++
 	f.calls[h.name]++
-	h.usage.TakeIn(n.name, n.life, r.Started)
+	h.usage.Merge(n.name, n.life, r.Started)
 	h.book.Gather(f.now, r)
 	lifetime, version := n.view.Known(h.name)
 	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.Version(lifetime, version)))
@@ -173,7 +173,7 @@
 	g := from.book.Group(f.now, from.book.Version(lifetime, version))
 	to.book.TakeIn(f.now, g)
 	for _, c := range g.Changes {
-		to.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		to.usage.Merge(c.Node, c.Lifetime, c.Started)
 	}
 }
 
@@ -256,7 +256,7 @@
 		if !n.alive || !slices.Contains(Relays(f.hallOf(n, n.hall)), n.name) {
 			continue
 		}
-		n.usage.Others(func(name, life string, w usage.Windows) {
+		n.usage.EachOther(func(name, life string, w usage.Windows) {
 			o := f.byName(name)
 			if o.life != life {
 				return
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -28,28 +28,28 @@
 // process names one life of one node.
 type process struct{ node, lifetime string }
 
-// Book is what one node knows of all counts. It isn't safe for concurrent use.
-type Book struct {
+// Tracker is what one node knows of all counts. It isn't safe for concurrent use.
+type Tracker struct {
 	length time.Duration
 	own    process
 	heard  map[process]Windows
 }
 
 // New returns the book of one process. length is the time that a window covers.
-func New(node, lifetime string, length time.Duration) *Book {
-	b := &Book{length: length, own: process{node, lifetime}, heard: make(map[process]Windows)}
+func New(node, lifetime string, length time.Duration) *Tracker {
+	b := &Tracker{length: length, own: process{node, lifetime}, heard: make(map[process]Windows)}
 	b.heard[b.own] = make(Windows)
 	return b
 }
 
 // Window returns the number of the window that holds t.
-func (b *Book) Window(t time.Time) int64 { return t.UnixNano() / int64(b.length) }
+func (b *Tracker) Window(t time.Time) int64 { return t.UnixNano() / int64(b.length) }
 
-// End returns when a window ends.
-func (b *Book) End(window int64) time.Time { return time.Unix(0, (window+1)*int64(b.length)) }
+// WindowEnd returns when a window ends.
+func (b *Tracker) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(b.length)) }
 
 // Add counts a request of a workspace that began to run at t.
-func (b *Book) Add(t time.Time, workspace string) {
+func (b *Tracker) Add(t time.Time, workspace string) {
 	w, k := b.heard[b.own], b.Window(t)
 	if w[k] == nil {
 		w[k] = make(Counts)
@@ -58,10 +58,10 @@
 }
 
 // Own returns this process's counts. The caller doesn't change them.
-func (b *Book) Own() Windows { return b.heard[b.own] }
+func (b *Tracker) Own() Windows { return b.heard[b.own] }
 
-// TakeIn takes in the counts of a process, heard from it or from another node.
-func (b *Book) TakeIn(node, lifetime string, w Windows) {
+// Merge takes in the counts of a process, heard from it or from another node.
+func (b *Tracker) Merge(node, lifetime string, w Windows) {
 	p := process{node, lifetime}
 	if p == b.own {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// Others calls f for the counts of each process but this one.
-func (b *Book) Others(f func(node, lifetime string, w Windows)) {
+// EachOther calls f for the counts of each process but this one.
+func (b *Tracker) EachOther(f func(node, lifetime string, w Windows)) {
 	for p, w := range b.heard {
 		if p != b.own {
 			f(p.node, p.lifetime, w)
@@ -91,7 +91,7 @@
 }
 
 // Sum returns the counts of a window over all processes.
-func (b *Book) Sum(window int64) Counts {
+func (b *Tracker) Sum(window int64) Counts {
 	sum := make(Counts)
 	for _, w := range b.heard {
 		for n, v := range w[window] {
@@ -102,7 +102,7 @@
 }
 
 // Processes returns how many processes have counted anything in a window.
-func (b *Book) Processes(window int64) int {
+func (b *Tracker) Processes(window int64) int {
 	n := 0
 	for _, w := range b.heard {
 		if len(w[window]) > 0 {
@@ -113,7 +113,7 @@
 }
 
 // Forget drops the windows that are no longer needed at t.
-func (b *Book) Forget(t time.Time) {
+func (b *Tracker) Forget(t time.Time) {
 	oldest := b.Window(t) - keep
 	for p, w := range b.heard {
 		maps.DeleteFunc(w, func(k int64, _ Counts) bool { return k < oldest })
