--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -90,7 +90,7 @@
 
 // watchersAt is watchers. The node's lock is held.
 func (n *Node) watchersAt(now time.Time) []string {
-	silent := pair.Silent(n.peers.size())
+	silent := pair.UnresponsiveAfter(n.peers.size())
 	heard, served := map[string]float64{n.s.Node: n.s.Cores}, map[string]float64{}
 	if n.guard.Up() {
 		served[n.s.Node] = n.s.Cores
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -54,7 +54,7 @@
 		}
 	}
 	slices.Sort(nodes)
-	if pair.Every(n.peers.size()) > pair.Round {
+	if pair.Interval(n.peers.size()) > pair.Round {
 		placers = n.relays(now, relay.Active)
 	}
 	n.pools.SetSenders(nodes, placers)
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -142,7 +142,7 @@
 		n.listMember(now, p)
 	}
 	for name, p := range n.peers.peers {
-		if now.Sub(p.heard) > max(memberGone, pair.Silent(n.peers.size())) && now.Sub(p.listed) > memberGone {
+		if now.Sub(p.heard) > max(memberGone, pair.UnresponsiveAfter(n.peers.size())) && now.Sub(p.listed) > memberGone {
 			delete(n.peers.peers, name)
 			n.notePeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.heard)))
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	known := n.peers.peers[name]
-	if known != nil && now.Sub(known.heard) <= pair.Silent(n.peers.size()) {
+	if known != nil && now.Sub(known.heard) <= pair.UnresponsiveAfter(n.peers.size()) {
 		known.listed = now // what it says itself is newer than a stale read
 		return
 	}
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -145,7 +145,7 @@
 func (n *Node) silence() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return pair.Silent(n.peers.size())
+	return pair.UnresponsiveAfter(n.peers.size())
 }
 
 func (o *orderer) mix(s *catalog.ServiceSpec) *autoscale.Mix {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -106,7 +106,7 @@
 
 // pair returns what a pair's reports go through.
 func (t *table) pair(p *peer) wireconnect.EdgeClient {
-	if pair.Every(t.size()) > keepPairs {
+	if pair.Interval(t.size()) > keepPairs {
 		return p.seldom
 	}
 	return p.client
@@ -114,9 +114,9 @@
 
 // due returns the nodes to call in this round.
 func (t *table) due(now time.Time) []*peer {
-	others := make([]pair.Other, 0, len(t.peers))
+	others := make([]pair.Peer, 0, len(t.peers))
 	for _, p := range t.peers {
-		others = append(others, pair.Other{Name: p.name, Heard: p.heard, Called: p.called, Busy: p.busy})
+		others = append(others, pair.Peer{Name: p.name, LastSeen: p.heard, LastCalled: p.called, Busy: p.busy})
 	}
 	var list []*peer
 	for _, name := range pair.Due(now, t.n.s.Node, others) {
@@ -146,7 +146,7 @@
 	n.shareQuotas(now)
 	n.guard.SetRates(n.share())
 	n.usage.Forget(n.clock.Wall())
-	heard, silent := 0, pair.Silent(n.peers.size())
+	heard, silent := 0, pair.UnresponsiveAfter(n.peers.size())
 	for _, p := range n.peers.peers {
 		if now.Sub(p.heard) <= silent {
 			heard++
@@ -203,7 +203,7 @@
 	if n.knowsOthers(now) {
 		n.quotas.SetPeers(now, n.peers.names())
 	}
-	every, lag := pair.Every(n.peers.size()), time.Duration(0)
+	every, lag := pair.Interval(n.peers.size()), time.Duration(0)
 	if now.Sub(n.relayed) <= relayedFor {
 		every, lag = min(every, relaySpan), relayLag
 	}
@@ -307,7 +307,7 @@
 	if p.lifetime == r.Lifetime && r.Sequence <= p.sequence {
 		return false
 	}
-	if p.lifetime != r.Lifetime || now.Sub(p.heard) > pair.Silent(n.peers.size()) {
+	if p.lifetime != r.Lifetime || now.Sub(p.heard) > pair.UnresponsiveAfter(n.peers.size()) {
 		n.notePeer("peer_heard", zap.String("peer", r.Node), zap.String("lifetime", r.Lifetime), zap.Int64("catalog", r.CatalogVersion))
 	}
 	p.lifetime, p.sequence, p.heard, p.silent = r.Lifetime, r.Sequence, now, false
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -66,7 +66,7 @@
 // relayStep does a round, if the fleet is large, and tells whether it did.
 func (n *Node) relayStep(ctx context.Context) bool {
 	n.mu.Lock()
-	large := pair.Every(n.peers.size()) > pair.Round
+	large := pair.Interval(n.peers.size()) > pair.Round
 	n.mu.Unlock()
 	if large {
 		n.relayRound(ctx, n.clock.Now())
@@ -113,7 +113,7 @@
 
 // isThere tells whether another node is heard or stands in the registry. The node's lock is held.
 func (n *Node) isThere(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) <= pair.Silent(n.peers.size()) || now.Sub(p.listed) <= 2*memberLook
+	return now.Sub(p.heard) <= pair.UnresponsiveAfter(n.peers.size()) || now.Sub(p.listed) <= 2*memberLook
 }
 
 // relays returns some of the relays of all halls, as this node sees them: of a hall's nodes in order, those that a
@@ -215,10 +215,10 @@
 func (n *Node) swapAll(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var others []pair.Other
+	var others []pair.Peer
 	for _, name := range n.relays(now, relay.Relays) {
 		if p := n.peers.peers[name]; p != nil {
-			others = append(others, pair.Other{Name: name, Heard: p.relaying.swapped, Called: p.relaying.called, Busy: p.relaying.busy})
+			others = append(others, pair.Peer{Name: name, LastSeen: p.relaying.swapped, LastCalled: p.relaying.called, Busy: p.relaying.busy})
 		}
 	}
 	for _, name := range pair.Due(now, n.s.Node, others) {
--- a/internal/pair/pair.go
+++ b/internal/pair/pair.go
@@ -28,11 +28,11 @@
 	missed = 6
 )
 
-// Every is how often a pair swaps in a fleet of so many nodes.
-func Every(nodes int) time.Duration { return max(Round, Round*time.Duration(nodes-1)/aRound) }
+// Interval is how often a pair swaps in a fleet of so many nodes.
+func Interval(nodes int) time.Duration { return max(Round, Round*time.Duration(nodes-1)/aRound) }
 
-// Silent is the silence after which a node doesn't count as heard any more: some swaps that were missed.
-func Silent(nodes int) time.Duration { return missed * Every(nodes) }
+// UnresponsiveAfter is the silence after which a node doesn't count as heard any more: some swaps that were missed.
+func UnresponsiveAfter(nodes int) time.Duration { return missed * Interval(nodes) }
 
 // calls tells which of two nodes calls the other.
 func calls(self, other string) bool {
@@ -41,23 +41,23 @@
 	return lower == (self == first)
 }
 
-// Other is another node, as one that may call it knows it.
-type Other struct {
-	Name   string
-	Heard  time.Time // when it last swapped, whoever called
-	Called time.Time // by this node
-	Busy   bool      // a call is under way
+// Peer is another node, as one that may call it knows it.
+type Peer struct {
+	Name       string
+	LastSeen   time.Time // when it last swapped, whoever called
+	LastCalled time.Time // by this node
+	Busy       bool      // a call is under way
 }
 
 // Due returns the names of those to call in this round, of all others, the longest waiting ones first. One that
 // isn't heard is called from both sides.
-func Due(now time.Time, self string, others []Other) []string {
-	every, silent := Every(len(others)+1), Silent(len(others)+1)
-	list := slices.DeleteFunc(slices.Clone(others), func(o Other) bool {
-		mine := calls(self, o.Name) || now.Sub(o.Heard) > silent
-		return !mine || o.Busy || now.Sub(o.Called) < every-Round/2 // rounds come a little late: half a round early is on time
+func Due(now time.Time, self string, others []Peer) []string {
+	every, silent := Interval(len(others)+1), UnresponsiveAfter(len(others)+1)
+	list := slices.DeleteFunc(slices.Clone(others), func(o Peer) bool {
+		mine := calls(self, o.Name) || now.Sub(o.LastSeen) > silent
+		return !mine || o.Busy || now.Sub(o.LastCalled) < every-Round/2 // rounds come a little late: half a round early is on time
 	})
-	slices.SortFunc(list, func(a, b Other) int { return a.Called.Compare(b.Called) })
+	slices.SortFunc(list, func(a, b Peer) int { return a.LastCalled.Compare(b.LastCalled) })
 	names := make([]string, 0, aRound)
 	for _, o := range list[:min(len(list), aRound)] {
 		names = append(names, o.Name)
