--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// Keeps is how long a node stays unready after its callers' listener failed. net/http
+	// FailureHold is how long a node stays unready after its callers' listener failed. net/http
 	// tries again after a second at most; a listener that nobody calls meanwhile shows nothing.
-	Keeps = 2 * time.Second
+	FailureHold = 2 * time.Second
 	// ownDescriptors is what the platform keeps for itself of a process's descriptors, and what
 	// a node needs for listeners, other nodes and the store.
 	ownDescriptors = 200 + 200
@@ -102,7 +102,7 @@
 // Failing tells whether it failed a moment ago, or is closed.
 func (l *Listener) Failing(now time.Time) bool {
 	at := l.failed.Load()
-	return l.closed.Load() || at != 0 && now.Sub(time.Unix(0, at)) < Keeps
+	return l.closed.Load() || at != 0 && now.Sub(time.Unix(0, at)) < FailureHold
 }
 
 var (
