--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,10 +1,9 @@
-// Package call holds what a caller says about a request beside its body, and what
-// an upstream says about its answer, in the project's own terms. The wire decides
-// how it is spelled; a Dialect translates, so that nothing behind it knows a header's
-// name.
+// Package call holds what a caller states about a request outside its body, and what an upstream states
+// about its response, independent of header names. The wire protocol decides the spelling; a Dialect
+// translates, so that no other package knows a header's name.
 //
-// A map of strings was the first form. It made each reader parse numbers again and
-// decide for itself what a malformed one means.
+// Alternatives considered: a map of strings, in which each reader parses numbers again and decides for
+// itself what a malformed one means.
 package call
 
 import (
@@ -18,68 +17,67 @@
 	Tokens int
 }
 
-// Meta is what a caller says about a request. The zero value of a field means that
-// nothing was said.
+// Meta is what a caller states about a request. The zero value of a field means that it was not stated.
 type Meta struct {
-	ID           string        // the caller's name for this try
+	ID           string        // the caller's id of this attempt
 	Credential   string        // an API key, or empty
-	WaitLimit    time.Duration // how long the caller waits for the answer
+	WaitLimit    time.Duration // how long the caller waits for the response
 	Model        string
 	PromptTokens int    // tokens of the prompt
-	MaxOutput    int    // most tokens of the answer
-	HasTokens    bool   // whether Prompt and Output were said
-	Parts        []Part // of the prompt, in order; the last one is the request's own
-	LastEvent    string // the stream event after which to go on
+	MaxOutput    int    // maximum number of output tokens
+	HasTokens    bool   // whether PromptTokens and MaxOutput were stated
+	Parts        []Part // of the prompt, in order; the last one is specific to the request
+	LastEvent    string // the stream event after which to resume
 }
 
-// Order is what goes to an upstream beside the body.
+// Order is what is sent to an upstream beside the body.
 type Order struct {
-	TimeLeft    time.Duration // what is left of the caller's wait
-	Incarnation string        // the only upstream life that may run the request
+	TimeLeft    time.Duration // what is left of the caller's wait limit
+	Incarnation string        // id of the only incarnation of the upstream that may run the request
 	Workspace   string        // empty: none
-	LastEvent   string        // go on after this event
-	Priority    int           // 0 is the most urgent, -1 leaves it unsaid
+	LastEvent   string        // the stream event after which to resume
+	Priority    int           // 0 is the most urgent; -1: not sent
 	FetchFrom   string        // address of an upstream that has more of the prompt cached; empty: none
 }
 
-// Response is what an upstream's head says.
+// Response is what the headers of an upstream's response state.
 type Response struct {
-	RequestID      string        // the request it answers; empty: it doesn't say
-	Signed         bool          // it bears the upstream's signature
-	NotRun         bool          // the upstream did not and won't run the request
-	Misplaced      bool          // another life has the address
-	IdleTimeout    time.Duration // the upstream closes a connection idle for so long; 0: unsaid
-	Leaving        bool          // the upstream leaves, and is to get nothing new
-	Cooldown       time.Duration // the upstream wants nothing from this node for so long; 0: unsaid
-	Limit          Limit         // what the upstream takes from all nodes together
-	UnknownHeaders []string      // names of what else the upstream says of itself, which nothing here reads
+	RequestID      string        // of the request that is responded to; empty: not stated
+	Signed         bool          // the response has the upstream's signature
+	NotRun         bool          // the upstream did not run the request and won't run it
+	Misplaced      bool          // another incarnation has the address
+	IdleTimeout    time.Duration // time after which the upstream closes an idle connection; 0: not stated
+	Leaving        bool          // the upstream leaves and accepts no new requests
+	Cooldown       time.Duration // time for which the upstream wants no requests from this node; 0: not stated
+	Limit          Limit         // the rate that the upstream accepts from all nodes together
+	UnknownHeaders []string      // names of other headers about the upstream, which no dialect reads
 }
 
-// Limit is what an answer says of a rate that its upstream takes.
+// Limit is what a response states about the request rate that its upstream accepts.
 type Limit struct {
 	Status LimitStatus
-	Rate   float64 // requests a second from all nodes together, if one is named
+	Rate   float64 // requests a second from all nodes together, if a limit is named
 }
 
-// LimitStatus is whether an answer names a limit.
+// LimitStatus is whether a response names a limit.
 type LimitStatus int
 
-// The words.
+// The limit statuses.
 const (
-	LimitNoResponse LimitStatus = iota // there was no answer, which says nothing
-	LimitNone                          // the upstream takes whatever it has room for
-	LimitNamed                         // it names one
-	LimitUnclear                       // it can't be told whether there is one: what was known holds
+	LimitNoResponse LimitStatus = iota // there was no response, which tells nothing about a limit
+	LimitNone                          // the upstream accepts whatever it has room for
+	LimitNamed                         // the response names a limit
+	LimitUnclear                       // the response is ambiguous; the limit that is known stays
 )
 
-// Dialect translates between headers and these types.
+// Dialect translates between headers and the types of this package.
 type Dialect struct {
-	// ReadMeta reads what a caller said. What can't be read counts as not said.
+	// ReadMeta reads what a caller stated. Values that can't be parsed count as not stated.
 	ReadMeta func(h http.Header) Meta
-	// WriteOrder turns a caller's header into the one for an upstream, in place.
+	// WriteOrder turns a caller's headers into those for an upstream, in place.
 	WriteOrder func(h http.Header, o Order)
-	// ReadResponse reads an upstream's head.
+	// ReadResponse reads the headers of an upstream's response.
 	ReadResponse func(a *http.Response) Response
-	// WriteRetryAfter tells a caller when to come back.
+	// WriteRetryAfter sets the time after which a caller may retry.
 	WriteRetryAfter func(h http.Header, d time.Duration)
 }
