--- a/internal/era/era.go
+++ b/internal/era/era.go
@@ -1,18 +1,18 @@
-// Package era orders what is known of a store that may come back from an older copy of itself.
+// Package era keeps store revisions comparable when the store is restored from an older copy of itself.
 //
-// The store counts its changes by revisions. When it comes back from a copy, what was written since
-// is gone, and revisions are given out again; it says so by an era that is one higher, in all its
-// answers. A revision then tells nothing without its era, and comparing two of different eras is how
-// old words come to count as new ones.
+// The store counts its changes by revisions. When it is restored from a copy, later writes are lost and
+// their revisions are assigned again; the store then reports an era that is one higher in all its
+// responses. A revision means nothing without its era: comparing revisions of two eras would take
+// outdated data for new.
 //
-// So inside the system a revision has its era in it, before the store's own number. Everything that
-// compares revisions (lists, watches, fencing tokens, what nodes tell each other) is in order over
-// eras without knowing of them, and a token never falls. The way to the store is the only place that
-// takes them apart: a number of an earlier era isn't sent there.
+// So inside the system a revision holds its era in front of the store's own number. All code that
+// compares revisions (lists, watches, fencing tokens, the state that nodes exchange) is in order across
+// eras without knowing of them, and a fencing token never falls. Only the store's client splits
+// revisions again; it does not send numbers of an earlier era to the store.
 //
-// Weighed for tokens: a number of our own that never falls, kept by the nodes and asked of the cloud's
-// refusals. It takes a refusal to learn it, which needs a call, and where all nodes are lost it is
-// another's token first.
+// Alternatives considered, for fencing tokens: a monotonic number of the nodes' own, kept by the nodes
+// and learned from the cloud's rejections. Learning it takes a rejection, and so a call; where all
+// nodes are lost, the first number tried may be another holder's token.
 package era
 
 import (
@@ -24,97 +24,99 @@
 var errs = errorx.NewNamespace("era")
 
 var (
-	// ErrEarlierEra says that an answer is of an earlier era: it tells nothing of the store as it is.
-	ErrEarlierEra = errs.NewType("past").New("the answer is of an earlier era of the store")
-	// ErrRange says that an era or a revision is too large to be ordered.
-	ErrRange = errs.NewType("range").New("the store's era or revision can't be ordered")
+	// ErrEarlierEra reports that a response is of an earlier era and does not describe the store's
+	// present state.
+	ErrEarlierEra = errs.NewType("past").New("the response is of an earlier era of the store")
+	// ErrRange reports that an era or a revision is negative or too large to be encoded.
+	ErrRange = errs.NewType("range").New("the store's era or revision is out of range")
 )
 
-// bits is the part of a revision that is the store's own number: at 400 writes a second, the most that
-// the platform's stores take, it lasts for 1,400 years. What is left is enough for half a million eras.
+// numberBits is the width of the store's own number in a revision: at 400 writes a second, the most
+// that the platform's stores accept, it lasts for 1,400 years. The remaining bits hold half a million
+// eras.
 const (
-	bits    = 44
-	largest = 1<<(63-bits) - 1 // era
+	numberBits = 44
+	maxEra     = 1<<(63-numberBits) - 1 // the largest era that fits
 )
 
-// Revision puts an era before a store's own number. Without an era it is the number: stores that say
-// none are as they were.
+// Revision puts an era in front of a store's own number. For era 0, of stores that report no era, the
+// result is the number itself.
 func Revision(era, number int64) (int64, error) {
-	if era < 0 || era > largest || number < 0 || number >= 1<<bits {
+	if era < 0 || era > maxEra || number < 0 || number >= 1<<numberBits {
 		return 0, ErrRange
 	}
-	return era<<bits | number, nil
+	return era<<numberBits | number, nil
 }
 
 // Of returns the era of a revision.
-func Of(revision int64) int64 { return max(0, revision) >> bits }
+func Of(revision int64) int64 { return max(0, revision) >> numberBits }
 
 // Number returns the store's own number of a revision.
-func Number(revision int64) int64 { return revision & (1<<bits - 1) }
+func Number(revision int64) int64 { return revision & (1<<numberBits - 1) }
 
-// Rise is a store's coming back from a copy.
+// Rise describes a restore of the store from a copy.
 type Rise struct {
 	From, To   int64
-	LastNumber int64 // newest of the store's numbers that was seen in the era before
+	LastNumber int64 // highest of the store's numbers seen in the era before
 }
 
-// Tracker knows a store's era. It is safe for concurrent use.
+// Tracker keeps a store's era. It is safe for concurrent use.
 type Tracker struct {
-	mu     sync.Mutex
-	now    int64
-	newest int64 // of the store's numbers in this era
-	tell   []func(Rise)
+	mu      sync.Mutex
+	current int64
+	newest  int64 // highest of the store's numbers in this era
+	onRise  []func(Rise)
 }
 
-// NewTracker returns a clock of a store that hasn't said its era.
+// NewTracker returns a tracker of a store whose era isn't known.
 func NewTracker() *Tracker { return &Tracker{} }
 
-// OnRise names what is told of each rise, once. It is set before anything is heard. The era that the
-// first answer says is no rise.
-func (c *Tracker) OnRise(f func(Rise)) { c.tell = append(c.tell, f) }
+// OnRise adds a callback that is called once for each rise. It must be called before the first Observe.
+// The first era that is observed is no rise.
+func (c *Tracker) OnRise(f func(Rise)) { c.onRise = append(c.onRise, f) }
 
-// Current returns the newest era that was heard; 0: none.
+// Current returns the newest era that was observed; 0: none.
 func (c *Tracker) Current() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.now
+	return c.current
 }
 
-// Observe takes in the era that an answer says; 0: it says none, and counts as one of the era that is
-// known. An answer of an earlier era is ErrPast.
+// Observe records the era of a response. Era 0 means that the response states none; it counts as one of
+// the era that is known. For a response of an earlier era it returns ErrEarlierEra.
 func (c *Tracker) Observe(era int64) error {
-	if era < 0 || era > largest {
+	if era < 0 || era > maxEra {
 		return ErrRange
 	}
 	c.mu.Lock()
-	if era != 0 && era < c.now {
+	if era != 0 && era < c.current {
 		c.mu.Unlock()
 		return ErrEarlierEra
 	}
-	r := Rise{From: c.now, To: max(era, c.now), LastNumber: c.newest}
+	r := Rise{From: c.current, To: max(era, c.current), LastNumber: c.newest}
 	if r.To > r.From {
-		c.now, c.newest = r.To, 0
+		c.current, c.newest = r.To, 0
 	}
 	c.mu.Unlock()
 	if r.To > r.From && (r.From != 0 || r.LastNumber > 0) {
-		for _, f := range c.tell {
+		for _, f := range c.onRise {
 			f(r)
 		}
 	}
 	return nil
 }
 
-// ObserveRevision notes a revision that an answer of the store says.
+// ObserveRevision records a revision that a response of the store states.
 func (c *Tracker) ObserveRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if Of(revision) == c.now {
+	if Of(revision) == c.current {
 		c.newest = max(c.newest, Number(revision))
 	}
 }
 
-// NumberIn returns the store's own number of a revision, if it is one of that era. 0, which stands for
-// absence, is one of each.
+// NumberIn returns the store's own number of a revision, and whether the revision is of that era.
+// Revision 0, which stands for absence, is of every era.
 func NumberIn(era, revision int64) (int64, bool) {
 	if revision == 0 {
 		return 0, true
