--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,16 +1,16 @@
-// Package duty carries out what one node at a time owes the platform: a usage report
-// for each window, and orders for upstreams.
+// Package duty performs the duties towards the platform that one node at a time has: it sends a usage
+// report for each window, and orders for upstreams.
 //
-// The node that holds the store's lease does it, and each call bears the lease's fencing
-// token. A report is written to the store under a condition before it is sent, so the
-// counts of a window are settled once: a successor finds them there and repeats them to
-// the letter, however much its own counts differ. A store that comes back from an older copy may have
-// lost that: who settled a window writes it again as it was, and who didn't reports none that may have
-// been. A window that is missing costs less than one that was told twice. A call that got no answer is
-// repeated; a call refused for its token ends the term at once.
+// The node that holds the store's lease performs them, and each call carries the lease's fencing token.
+// A report is written to the store under a condition before it is sent, so that the counts of a window
+// are settled once: the next holder finds them there and repeats them unchanged, even if its own
+// counts differ. A store that is restored from an older copy may have lost a settled report. The
+// process that settled the window writes it again unchanged; another process does not report a window
+// that may have been reported already, since a missing window costs less than one that was reported
+// twice. A call without a response is repeated; a call rejected for its token ends the term at once.
 //
-// Weighed: a duty by rendezvous hashing, which needs no lease, but two nodes that see
-// different members would report one window twice.
+// Alternatives considered: choosing the node by rendezvous hashing, which needs no lease, but two nodes
+// that see different members would both report a window.
 package duty
 
 import (
@@ -33,27 +33,28 @@
 var errs = errorx.NewNamespace("duty")
 
 var (
-	// ErrFenced says that a later holder has acted already.
+	// ErrFenced reports that a later holder of the lease has acted already.
 	ErrFenced = errs.NewType("fenced").New("a holder with a higher fencing token has acted")
-	// ErrNoneLeft says that no such upstreams are to be had now.
-	ErrNoneLeft = errs.NewType("none_left").New("no such upstreams are to be had")
-	// errDoubted says that a window may have been reported with counts that nobody here knows.
-	errDoubted = errs.NewType("doubted").New("the window may have been reported before the store came back from a copy")
-	errTaken   = errs.NewType("taken").New("the counts were settled by another")
+	// ErrNoneLeft reports that no upstreams of the requested kind are available now.
+	ErrNoneLeft = errs.NewType("none_left").New("no upstreams of the requested kind are available")
+	// errMaybeReported reports that a window may have been reported with counts that this process does
+	// not know.
+	errMaybeReported    = errs.NewType("doubted").New("the window may have been reported before the store was restored from a copy")
+	errSettledElsewhere = errs.NewType("taken").New("the counts were settled by another process")
 )
 
 // Report is the usage of one window.
 type Report struct {
 	Window    int64
 	Counts    map[string]int64
-	Processes int // that the counts are of
+	Processes int // processes that the counts are from
 }
 
 // Tally is what a node knows of a window's counts.
 type Tally struct {
 	Counts    map[string]int64
-	Processes int  // that the counts are of
-	Complete  bool // every node has been heard since the window ended
+	Processes int  // processes that the counts are from
+	Complete  bool // every node has reported since the window ended
 }
 
 // Order states how many upstreams of a service a hall should have.
@@ -64,14 +65,14 @@
 	Reclaimable bool
 }
 
-// Cloud is the platform's API for duties. Calls return ErrFenced, ErrNoneLeft or an
-// error of package store.
+// Cloud is the platform's API for duties. Calls return ErrFenced, ErrNoneLeft or an error of package
+// store.
 type Cloud struct {
 	Report func(ctx context.Context, token int64, r Report) error
 	Order  func(ctx context.Context, token int64, o Order) error
 }
 
-// Options sets a reporter.
+// Options configures a reporter.
 type Options struct {
 	Clock *timer.Service
 	Log   *zap.Logger
@@ -79,43 +80,44 @@
 	Cloud Cloud
 	// Token returns the lease's fencing token, and whether the lease is held now.
 	Token func() (int64, bool)
-	// Resign gives the lease up.
+	// Resign gives up the lease.
 	Resign func()
-	// Window names the window of a time, End says when a window ends.
+	// Window returns the number of the window that holds a time, WindowEnd the time at which a window ends.
 	Window    func(t time.Time) int64
 	WindowEnd func(window int64) time.Time
 	// Counts returns what is known of a window.
 	Counts func(window int64) Tally
-	// MaybeReported tells whether the store may have lost how a window was settled; nil: it never does.
+	// MaybeReported reports whether the store may have lost the settled report of a window; nil: never.
 	MaybeReported func(window int64) bool
-	// Deadline is how long after its end a window's report is due.
+	// Deadline is the time after its end until which a window's report must be sent.
 	Deadline time.Duration
 }
 
 const (
-	prefix = "spurhall/usage/"
-	// wholeAfter is when a report goes out if all nodes have been heard; settledShare
-	// is the part of the time until it is due after which it goes out anyway.
-	wholeAfter   = 600 * time.Millisecond
-	settledShare = 0.55
-	// lookBack is how many windows back a new holder looks for reports to repeat.
-	lookBack = 4
+	keyPrefix = "spurhall/usage/"
+	// completeDelay is the time after a window's end at which its report is sent if all nodes have
+	// reported; incompleteShare is the part of the time until the deadline after which it is sent
+	// anyway.
+	completeDelay   = 600 * time.Millisecond
+	incompleteShare = 0.55
+	// lookbackWindows is the number of past windows that a new holder checks for reports to repeat.
+	lookbackWindows = 4
 )
 
-// Reporter reports usage. It isn't safe for concurrent use.
+// Reporter sends usage reports. It isn't safe for concurrent use.
 type Reporter struct {
-	o     Options
-	token int64            // of the term that done belongs to
-	done  map[int64]bool   // windows reported in this term
-	sent  map[int64]Report // as this process has settled them, in any term
+	o       Options
+	token   int64            // of the term that done belongs to
+	done    map[int64]bool   // windows reported in this term
+	settled map[int64]Report // reports that this process has settled or read, in any term
 }
 
 // NewReporter returns a reporter.
 func NewReporter(o Options) *Reporter {
-	return &Reporter{o: o, sent: make(map[int64]Report)}
+	return &Reporter{o: o, settled: make(map[int64]Report)}
 }
 
-// Step reports what is due.
+// Step sends the reports that are due.
 func (r *Reporter) Step(ctx context.Context) {
 	token, held := r.o.Token()
 	if !held {
@@ -127,12 +129,12 @@
 	}
 	now := r.o.Clock.Wall()
 	newest := r.o.Window(now) - 1
-	for w := newest - lookBack + 1; w <= newest; w++ {
+	for w := newest - lookbackWindows + 1; w <= newest; w++ {
 		if r.done[w] || !r.due(now, w) {
 			continue
 		}
 		err := r.report(ctx, token, w)
-		if errors.Is(err, errDoubted) {
+		if errors.Is(err, errMaybeReported) {
 			r.o.Log.Warn("usage_doubted", zap.Int64("window", w), zap.Int64("token", token))
 			err = nil
 		}
@@ -146,13 +148,13 @@
 
 func (r *Reporter) due(now time.Time, w int64) bool {
 	age := now.Sub(r.o.WindowEnd(w))
-	if age < wholeAfter {
+	if age < completeDelay {
 		return false
 	}
 	if r.o.Counts(w).Complete {
 		return true
 	}
-	return age >= time.Duration(settledShare*float64(r.o.Deadline))
+	return age >= time.Duration(incompleteShare*float64(r.o.Deadline))
 }
 
 func (r *Reporter) failed(w int64, err error) {
@@ -178,27 +180,27 @@
 	return nil
 }
 
-func key(w int64) string { return prefix + strconv.FormatInt(w, 10) }
+func key(w int64) string { return keyPrefix + strconv.FormatInt(w, 10) }
 
-// settle writes a window's counts to the store, or reads those that are there.
+// settle writes a window's counts to the store, or reads those that are stored already.
 func (r *Reporter) settle(ctx context.Context, w int64) (Report, error) {
 	seen, err := r.o.KV.Range(ctx, key(w), "")
 	if err != nil {
 		return Report{}, err
 	}
-	v, ok := r.sent[w]
+	v, ok := r.settled[w]
 	switch {
 	case ok && len(seen.Pairs) > 0:
 		return v, nil
 	case len(seen.Pairs) > 0:
 		v, err := decode(seen.Pairs[0])
 		if err == nil {
-			r.note(v)
+			r.remember(v)
 		}
 		return v, err
 	case !ok:
 		if r.o.MaybeReported != nil && r.o.MaybeReported(w) {
-			return Report{}, errDoubted
+			return Report{}, errMaybeReported
 		}
 		c := r.o.Counts(w)
 		v = Report{Window: w, Counts: maps.Clone(c.Counts), Processes: c.Processes}
@@ -208,24 +210,24 @@
 		return Report{}, err
 	}
 	t := store.Txn{If: []store.Compare{store.Absent(key(w))}, Then: []store.Op{{Kind: store.OpPut, Key: key(w), Value: b}}}
-	t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: key(w - 2*lookBack)})
+	t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: key(w - 2*lookbackWindows)})
 	a, err := r.o.KV.Txn(ctx, t)
 	if err != nil {
-		return Report{}, err // the next step reads what became of it
+		return Report{}, err // the next step reads whether the write took effect
 	}
 	if !a.Succeeded {
-		return Report{}, errTaken
+		return Report{}, errSettledElsewhere
 	}
-	r.note(v)
+	r.remember(v)
 	return v, nil
 }
 
-// note remembers how a window was settled, for as long as it may be looked at.
-func (r *Reporter) note(v Report) {
-	r.sent[v.Window] = v
-	for w := range r.sent {
-		if w < v.Window-2*lookBack {
-			delete(r.sent, w)
+// remember keeps the settled report of a window for as long as it may be needed.
+func (r *Reporter) remember(v Report) {
+	r.settled[v.Window] = v
+	for w := range r.settled {
+		if w < v.Window-2*lookbackWindows {
+			delete(r.settled, w)
 		}
 	}
 }
@@ -236,7 +238,7 @@
 		return v, err
 	}
 	if key(v.Window) != p.Key {
-		return v, errors.New("the report at " + p.Key + " is of another window, " + strings.TrimPrefix(key(v.Window), prefix))
+		return v, errors.New("the report at " + p.Key + " is of window " + strings.TrimPrefix(key(v.Window), keyPrefix))
 	}
 	return v, nil
 }
