--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -15,20 +15,20 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// world is a store that may come back from older copies, a cloud that refuses tokens that fall, and
-// holders of which each has its own way to the store.
-type world struct {
-	t      *rapid.T
-	clock  *timer.Manual
-	keys   *standin.Keys
-	era    int64
-	copies []*standin.Copy
-	late   bool // answers come after the next return
-	lost   bool // the next transaction's answer is lost
-	list   []*holder
-	fence  int64            // highest that the cloud has seen
-	by     map[int64]string // who sent a token
-	taken  []string         // holders of the calls that were taken, by order
+// cluster is a store that may be restored from older copies, a cloud that rejects falling tokens, and
+// holders that each have their own store client.
+type cluster struct {
+	t                  *rapid.T
+	clock              *timer.Manual
+	keys               *standin.Keys
+	era                int64
+	copies             []*standin.Copy
+	restoreBeforeReply bool // the next response comes after a restore
+	loseNextReply      bool // the next transaction's response is lost
+	holders            []*holder
+	fence              int64            // highest token that the cloud has seen
+	senders            map[int64]string // holder that sent a token
+	accepted           []string         // holders of the accepted calls, in order
 }
 
 type holder struct {
@@ -37,9 +37,9 @@
 	clock *era.Tracker
 }
 
-// kv is a holder's way to the store: each answer says the era of the moment in which it was made.
-func (w *world) kv(c *era.Tracker) store.KV {
-	answer := func(e int64, err error) error {
+// kv returns a holder's store client: each response states the era at the time of its effect.
+func (w *cluster) kv(c *era.Tracker) store.KV {
+	reply := func(e int64, err error) error {
 		if h := c.Observe(e); h != nil {
 			return store.ErrUnknown
 		}
@@ -48,83 +48,84 @@
 	return store.Dated(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) {
 			r, e := w.keys.Range(key, end), w.era
-			w.between()
-			return r, answer(e, nil)
+			w.maybeRestore()
+			return r, reply(e, nil)
 		},
 		Txn: func(_ context.Context, x store.Txn) (store.TxnResult, error) {
 			r, err := w.keys.Txn(x)
-			e, lost := w.era, w.lost
-			w.lost = false
-			w.between()
+			e, lost := w.era, w.loseNextReply
+			w.loseNextReply = false
+			w.maybeRestore()
 			if lost {
 				return store.TxnResult{}, store.ErrUnknown
 			}
-			return r, answer(e, err)
+			return r, reply(e, err)
 		},
 		Grant: func(_ context.Context, d time.Duration) (int64, error) {
 			id, e := w.keys.Grant(d), w.era
-			w.between()
-			return id, answer(e, nil)
+			w.maybeRestore()
+			return id, reply(e, nil)
 		},
 		KeepAlive: func(_ context.Context, id int64) (time.Duration, error) {
 			d, e := w.keys.KeepAlive(id), w.era
 			if d == 0 {
-				return 0, answer(e, store.ErrLeaseGone)
+				return 0, reply(e, store.ErrLeaseGone)
 			}
-			return d, answer(e, nil)
+			return d, reply(e, nil)
 		},
-		Revoke: func(_ context.Context, id int64) error { w.keys.Revoke(id); return answer(w.era, nil) },
+		Revoke: func(_ context.Context, id int64) error { w.keys.Revoke(id); return reply(w.era, nil) },
 	}, c)
 }
 
-// between lets the store come back between a call's effect and its answer, and another holder take the
-// lease meanwhile.
-func (w *world) between() {
-	if !w.late {
+// maybeRestore restores the store between a call's effect and its response if that was requested, and
+// may let another holder take the lease meanwhile.
+func (w *cluster) maybeRestore() {
+	if !w.restoreBeforeReply {
 		return
 	}
-	w.late = false
-	w.giveBack()
+	w.restoreBeforeReply = false
+	w.restoreCopy()
 	if rapid.Bool().Draw(w.t, "another") {
-		_ = w.list[rapid.IntRange(0, len(w.list)-1).Draw(w.t, "which")].lease.Step(context.Background())
+		_ = w.holders[rapid.IntRange(0, len(w.holders)-1).Draw(w.t, "which")].lease.Step(context.Background())
 	}
 }
 
-func (w *world) giveBack() {
+func (w *cluster) restoreCopy() {
 	if len(w.copies) > 0 {
 		w.keys.Return(w.copies[rapid.IntRange(0, len(w.copies)-1).Draw(w.t, "copy")])
 		w.era++
 	}
 }
 
-// act sends an order if the holder believes that it may, and checks what the cloud sees.
-func (w *world) act(h *holder) {
+// sendOrder sends an order if the holder believes that it has the lease, and checks what the cloud
+// sees.
+func (w *cluster) sendOrder(h *holder) {
 	token, held := h.lease.Token()
 	if !held {
 		return
 	}
-	if other, ok := w.by[token]; ok {
+	if other, ok := w.senders[token]; ok {
 		assert.Equal(w.t, h.name, other, "token %d", token)
 	}
-	w.by[token] = h.name
+	w.senders[token] = h.name
 	if token < w.fence {
-		return // refused
+		return // rejected
 	}
 	w.fence = token
-	if n := len(w.taken); n == 0 || w.taken[n-1] != h.name+fmt.Sprint(token) {
-		w.taken = append(w.taken, h.name+fmt.Sprint(token))
+	if n := len(w.accepted); n == 0 || w.accepted[n-1] != h.name+fmt.Sprint(token) {
+		w.accepted = append(w.accepted, h.name+fmt.Sprint(token))
 	}
 }
 
-// TestTokensOverEras: the store comes back from copies of any age, in series, in the middle of calls
-// and between them, while holders take, renew, pause, die and begin again. No token is sent by two
-// holders, none that is taken falls, so holders never act A, B, A; and when the store stays, somebody
-// holds the lease within its time and two seconds.
+// TestTokensOverEras restores the store from copies of any age, repeatedly, during calls and between
+// them, while holders take, renew, pause, crash and restart. No token may be sent by two holders and no
+// accepted token may fall, so holders never act in the order A, B, A; and once the store stays, one
+// holder has the lease within its TTL and two seconds.
 func TestTokensOverEras(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, clock: timer.NewManual(time.Unix(1000, 0)), era: 1, by: make(map[int64]string)}
+		w := &cluster{t: t, clock: timer.NewManual(time.Unix(1000, 0)), era: 1, senders: make(map[int64]string)}
 		w.keys = standin.NewKeys(w.clock.Service())
-		begin := func(name string) *holder {
+		start := func(name string) *holder {
 			c := era.NewTracker()
 			h := &holder{name: name, clock: c}
 			h.lease = New(w.kv(c), w.clock.Service(), "duty", name, ttl)
@@ -132,55 +133,56 @@
 			return h
 		}
 		for i := range rapid.IntRange(2, 4).Draw(t, "holders") {
-			w.list = append(w.list, begin(fmt.Sprint("h", i)))
+			w.holders = append(w.holders, start(fmt.Sprint("h", i)))
 		}
 		ctx := context.Background()
 		for range 60 {
-			i := rapid.IntRange(0, len(w.list)-1).Draw(t, "who")
-			h := w.list[i]
+			i := rapid.IntRange(0, len(w.holders)-1).Draw(t, "holder")
+			h := w.holders[i]
 			switch rapid.IntRange(0, 10).Draw(t, "step") {
 			case 0, 1, 2:
 				_ = h.lease.Step(ctx)
 			case 3, 4:
-				w.act(h)
+				w.sendOrder(h)
 			case 5:
 				w.clock.Advance(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			case 6:
 				w.copies = append(w.copies, w.keys.Copy())
 			case 7:
-				w.giveBack()
+				w.restoreCopy()
 			case 8:
-				w.late = true
+				w.restoreBeforeReply = true
 			case 9:
-				w.lost = true
+				w.loseNextReply = true
 			case 10:
-				w.list[i] = begin(h.name) // it died without a word
+				w.holders[i] = start(h.name) // it crashed without releasing
 			}
 		}
-		w.late, w.lost = false, false
+		w.restoreBeforeReply, w.loseNextReply = false, false
 		deadline := w.clock.Service().Now().Add(ttl + 2*time.Second)
 		for held := false; !held && w.clock.Service().Now().Before(deadline); {
-			for _, h := range w.list {
+			for _, h := range w.holders {
 				_ = h.lease.Step(ctx)
 				_, ok := h.lease.Token()
 				held = held || ok
-				w.act(h)
+				w.sendOrder(h)
 			}
 			if !held {
-				w.clock.Advance(ttl / renewals)
+				w.clock.Advance(ttl / renewalsPerTTL)
 			}
 		}
 		held := 0
-		for _, h := range w.list {
+		for _, h := range w.holders {
 			if _, ok := h.lease.Token(); ok {
 				held++
 			}
 		}
-		assert.Equal(t, 1, held, "the duties go on, at one holder")
+		assert.Equal(t, 1, held, "one holder must continue the duties")
 	})
 }
 
-// TestForget: who hears that the store has lost the lease stops at once, and may take it again.
+// TestForget checks that a holder told of the loss of its lease by the store stops at once, and may
+// take it again.
 func TestForget(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
 	l := New(testPlatform(t, c.Service()), c.Service(), "forgotten", "h", ttl)
@@ -196,11 +198,11 @@
 	assert.Greater(t, second, first)
 }
 
-// TestReadBackOfAnothersKey: the answer to a take is lost, and so is the take; the lease's id is given to
-// another holder, who takes the key under it.
+// TestReadBackOfAnothersKey: the response to a take is lost, and so is its effect; the lease's id is
+// assigned to another holder, which writes the key under it.
 func TestReadBackOfAnothersKey(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
-	w := &world{clock: c, keys: standin.NewKeys(c.Service()), era: 1}
+	w := &cluster{clock: c, keys: standin.NewKeys(c.Service()), era: 1}
 	copied := w.keys.Copy()
 	other := New(w.kv(era.NewTracker()), c.Service(), "duty", "other", ttl)
 	known := era.NewTracker()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -27,11 +27,10 @@
 	return store.NewGateway(s.URL, 5*time.Second, timer.Real()).KV()
 }
 
-// TestTwoNeverBelieveAtOnce: clocks run, holders pause at any step, answers get lost,
-// processes die and are started again.
-// At no moment do two processes believe that they hold the lease, and a later holder
-// always has a higher token.
-func TestTwoNeverBelieveAtOnce(t *testing.T) {
+// TestAtMostOneHolder advances the clock, loses responses and restarts processes at any step. At no
+// moment may two processes believe that they hold the lease, and a later holder always has a higher
+// token.
+func TestAtMostOneHolder(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	kv := testPlatform(t, clock.Service())
 	round := 0
@@ -57,10 +56,10 @@
 			case 0, 1:
 				clock.Advance(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			case 2:
-				i := rapid.IntRange(0, 2).Draw(t, "dies")
+				i := rapid.IntRange(0, 2).Draw(t, "crashes")
 				list[i] = New(lossy, clock.Service(), fmt.Sprintf("leader%d", round), fmt.Sprint(i), ttl)
 			default:
-				_ = list[rapid.IntRange(0, 2).Draw(t, "who")].Step(context.Background())
+				_ = list[rapid.IntRange(0, 2).Draw(t, "holder")].Step(context.Background())
 			}
 			held := 0
 			for _, l := range list {
@@ -75,8 +74,8 @@
 	})
 }
 
-// TestPausedHolderIsHarmless: a holder looks at its clock, is paused past its lease,
-// and gives its order. An upstream that checks refuses it.
+// TestPausedHolderIsHarmless: a holder reads its clock, is paused past its lease, and gives its order.
+// An upstream that checks the token rejects it.
 func TestPausedHolderIsHarmless(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	kv := testPlatform(t, clock.Service())
@@ -95,16 +94,16 @@
 	require.True(t, ok)
 	clock.Advance(ttl + time.Second) // a is paused here, with the token in hand
 	_, ok = a.Token()
-	assert.False(t, ok, "its own clock tells it")
+	assert.False(t, ok, "its own clock shows the expiry")
 	require.NoError(t, b.Step(context.Background()))
 	now, ok := b.Token()
 	require.True(t, ok)
 	assert.Equal(t, http.StatusNoContent, order(now))
-	assert.Equal(t, http.StatusConflict, order(old), "the late order is refused")
+	assert.Equal(t, http.StatusConflict, order(old), "the late order must be rejected")
 }
 
-// TestRestartedHolderTakesOver: the process that held the lease is dead, and the next one
-// of the same VM doesn't wait for the lease to lapse.
+// TestRestartedHolderTakesOver: the process that held the lease is down, and the next process of the
+// same VM must not wait for the lease to expire.
 func TestRestartedHolderTakesOver(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	kv := testPlatform(t, clock.Service())
@@ -116,45 +115,45 @@
 	now, held := again.Token()
 	assert.True(t, held)
 	assert.Greater(t, now, old)
-	t.Run("the key is still another's obstacle", func(t *testing.T) {
+	t.Run("the key still keeps other VMs out", func(t *testing.T) {
 		assert.ErrorIs(t, b.Step(context.Background()), ErrTaken)
 	})
-	t.Run("the dead process's lease is gone", func(t *testing.T) {
+	t.Run("the earlier process's lease is gone", func(t *testing.T) {
 		assert.ErrorIs(t, a.Step(context.Background()), store.ErrLeaseGone)
 		clock.Advance(ttl / 2)
 		require.NoError(t, again.Step(context.Background()))
 		clock.Advance(ttl * 3 / 4)
-		require.NoError(t, again.Step(context.Background()), "the key went with the old lease")
+		require.NoError(t, again.Step(context.Background()), "the key must not be deleted with the old lease")
 		assert.ErrorIs(t, b.Step(context.Background()), ErrTaken)
 	})
 }
 
-// TestWaitersSeeTheKeyGo: a waiting process takes the lease when its holder gives it up,
-// and makes no calls until then.
-func TestWaitersSeeTheKeyGo(t *testing.T) {
+// TestWaitersSeeDeletedKey: a waiting process takes the lease when its holder gives it up, and makes no
+// calls until then.
+func TestWaitersSeeDeletedKey(t *testing.T) {
 	kv := testPlatform(t, timer.Real())
-	var looks atomic.Int32
+	var reads atomic.Int32
 	read := kv.Range
 	kv.Range = func(ctx context.Context, key, end string) (store.RangeResult, error) {
-		defer looks.Add(1) // when it has seen the key
+		defer reads.Add(1) // after the key was read
 		return read(ctx, key, end)
 	}
-	const long = time.Hour // nobody looks again by itself
+	const long = time.Hour // no process polls within the test
 	a, b := New(kv, timer.Real(), "leader", "a", long), New(kv, timer.Real(), "leader", "b", long)
 	require.NoError(t, a.Step(context.Background()))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); b.Run(ctx, func() bool { return true }) }()
-	require.Eventually(t, func() bool { return looks.Load() == 2 }, 30*time.Second, time.Millisecond, "both have looked")
+	require.Eventually(t, func() bool { return reads.Load() == 2 }, 30*time.Second, time.Millisecond, "both must have read the key")
 	a.Resign()
 	require.Eventually(t, func() bool { _, held := b.Token(); return held }, 30*time.Second, time.Millisecond)
-	assert.Equal(t, int32(3), looks.Load())
+	assert.Equal(t, int32(3), reads.Load())
 	cancel()
 	<-done
 }
 
-// TestLeaseIsTakenOnceWanted: a process that begins to want the lease doesn't wait for its
-// next look at the key.
+// TestLeaseIsTakenOnceWanted: a process that starts to want the lease must not wait for its next check
+// of the key.
 func TestLeaseIsTakenOnceWanted(t *testing.T) {
 	l := New(testPlatform(t, timer.Real()), timer.Real(), "leader", "a", time.Hour)
 	var wanted atomic.Bool
@@ -172,8 +171,9 @@
 	<-done
 }
 
-// TestSuspendedHolder: the holder's VM is suspended for longer than the lease. On the steady
-// clock no time has passed, so it believed that it holds the lease when it went on.
+// TestSuspendedHolder: the holder's VM is suspended for longer than the lease. No time passes on the
+// monotonic clock meanwhile, so without a check for suspension the holder would believe that it still
+// has the lease.
 func TestSuspendedHolder(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	l := New(testPlatform(t, clock.Service()), clock.Service(), "suspended", "a", ttl)
