--- a/internal/member/fact.go
+++ b/internal/member/fact.go
@@ -1,23 +1,20 @@
-// Package member holds what this node has observed, or was told by its peers,
-// about the other VMs: nodes and upstreams, who lives, who leaves, what load they
-// report.
+// Package member holds what this node has observed, or received from its peers, about the other VMs:
+// nodes and upstreams, their status and the load that they report.
 //
-// Facts are merged so that order, loss and repetition of messages don't matter:
-// the merge is commutative, associative and idempotent. Within one incarnation
-// of a VM its status only ever rises (live, leaving, gone), so a leaving VM never
-// looks live again because an old message, or a VM list that lags, says so. Only
-// a higher incarnation, a new process on the VM, starts again at live.
+// Facts are merged so that order, loss and repetition of messages don't matter: the merge is
+// commutative, associative and idempotent. Within one incarnation of a VM its status only ever rises
+// (live, leaving, gone), so a leaving VM never becomes live again through an outdated message or a VM
+// list that lags. Only a higher incarnation, a new process on the VM, starts again at live.
 //
-// A leased record per VM in the platform was weighed and refused: it would cost
-// a write per VM and heartbeat, and it would stop in an outage, which is when
-// membership is needed most.
+// Alternatives considered: a leased record per VM in the platform's store. It would cost a write per VM
+// and heartbeat, and it would stop during an outage, which is when membership is needed most.
 package member
 
 import (
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// Kind is what a fact is about.
+// Kind is the kind of VM that a fact describes.
 type Kind int32
 
 // The kinds of VM.
@@ -49,8 +46,8 @@
 	return "unset"
 }
 
-// Fact is what is known about one VM. The static part (hall, address, price) is
-// fixed for an incarnation; Sequence numbers the subject's load reports.
+// Fact is what is known about one VM. The static part (such as hall, address, price) is fixed for an
+// incarnation; Sequence numbers the load reports of the VM.
 type Fact struct {
 	ID             string
 	Kind           Kind
@@ -71,7 +68,7 @@
 	LeavesAt       int64 // Unix milliseconds at which a leaving VM goes; 0: not known
 }
 
-// Merge returns the newer knowledge of two facts about the same VM.
+// Merge returns the merged knowledge of two facts about the same VM.
 func Merge(a, b Fact) Fact {
 	if a.Incarnation != b.Incarnation {
 		if a.Incarnation > b.Incarnation {
@@ -88,7 +85,7 @@
 	return r
 }
 
-// earlier returns the earlier of two times, of which 0 is not known.
+// earlier returns the earlier of two times; 0 means not known.
 func earlier(a, b int64) int64 {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -96,9 +93,9 @@
 	return a
 }
 
-// newer orders two facts of one incarnation by their reports. Equal sequences
-// differ only when a fact was forged or built by hand; the rest of the order
-// then keeps the merge commutative.
+// newer reports whether b is the newer of two facts of one incarnation. Facts with equal sequences
+// differ only when one was forged or built by hand; the rest of the order then keeps the merge
+// commutative.
 func newer(b, a Fact) bool {
 	if b.Sequence != a.Sequence {
 		return b.Sequence > a.Sequence
@@ -126,7 +123,7 @@
 	return a.Price < b.Price
 }
 
-// Short returns the fact without its fixed part, for a peer that has that.
+// Short returns the fact without its static part, for a peer that has that part.
 func (f Fact) Short() Fact {
 	return Fact{
 		ID: f.ID, Kind: f.Kind, Incarnation: f.Incarnation, Status: f.Status, Sequence: f.Sequence,
@@ -134,11 +131,11 @@
 	}
 }
 
-// short tells whether the fixed part is left out. Every VM has an address.
+// short reports whether the static part is left out. Every VM has an address.
 func (f *Fact) short() bool { return f.Address == "" }
 
-// fill puts the fixed part of what is known into a short fact. It fits only within
-// one incarnation; a short fact of another is taken as it is known, which changes
+// fill adds the static part of the known fact to a short fact. This is valid only within one
+// incarnation; for a short fact of another incarnation it returns the known fact, which changes
 // nothing.
 func (f Fact) fill(known *Fact) Fact {
 	if f.Incarnation != known.Incarnation {
@@ -150,7 +147,7 @@
 	return r
 }
 
-func sameFixed(a, b *Fact) bool {
+func sameStatic(a, b *Fact) bool {
 	x, y := *a, *b
 	for _, f := range []*Fact{&x, &y} {
 		f.Status, f.Sequence, f.Running, f.Queued, f.ConfigRevision, f.LeavesAt = 0, 0, 0, 0, 0, 0
@@ -158,7 +155,7 @@
 	return x == y
 }
 
-// Wire returns the fact's form between processes.
+// Wire returns the fact's wire form.
 func (f *Fact) Wire() *wire.Fact {
 	return &wire.Fact{
 		Id: f.ID, Kind: int32(f.Kind), Incarnation: f.Incarnation, Status: int32(f.Status),
@@ -168,7 +165,7 @@
 	}
 }
 
-// FromWire reads a fact. Values out of range are refused.
+// FromWire reads a fact from its wire form. It returns false if values are out of range.
 func FromWire(w *wire.Fact) (Fact, bool) {
 	f := Fact{
 		ID: w.Id, Kind: Kind(w.Kind), Incarnation: w.Incarnation, Status: Status(w.Status),
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestLeavingNeverTurnsToLive(t *testing.T) {
+func TestStatusNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		high := make(map[string]Fact)
 		table := NewTable(nil)
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestAnyOrderAndRepetitionGivesOneTable(t *testing.T) {
+func TestOrderAndRepetitionDontMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		facts := rapid.SliceOfN(rapid.Custom(drawFact), 1, 12).Draw(t, "facts")
 		mixed := append(rapid.Permutation(facts).Draw(t, "order"), facts...)
@@ -64,75 +64,76 @@
 	})
 }
 
-func near(sent uint64) Peer { return Peer{ID: "p", Sent: sent} }
+func sameHallPeer(sent uint64) Peer { return Peer{ID: "p", Sent: sent} }
 
 func TestSinceSendsEachChangeOnce(t *testing.T) {
 	table := NewTable(nil)
 	table.Observe(time.Time{}, Fact{ID: "a", Address: "x", Incarnation: 1, Status: StatusLive}, Fact{ID: "b", Address: "y", Incarnation: 1, Status: StatusLive})
-	first, next := table.Since(near(0), 1)
+	first, next := table.Since(sameHallPeer(0), 1)
 	assert.Len(t, first, 1, "a long list is sent in parts")
-	second, next := table.Since(near(next), 10)
+	second, next := table.Since(sameHallPeer(next), 10)
 	assert.Len(t, second, 1)
-	none, _ := table.Since(near(next), 10)
+	none, _ := table.Since(sameHallPeer(next), 10)
 	assert.Empty(t, none)
 	table.Mark(time.Time{}, "a", StatusLeaving, time.Time{})
-	again, _ := table.Since(near(next), 10)
+	again, _ := table.Since(sameHallPeer(next), 10)
 	assert.Equal(t, StatusLeaving, again[0].Status)
-	assert.Empty(t, again[0].Address, "the peer has the fixed part")
-	whole, _ := table.Since(near(0), 10)
-	assert.NotEmpty(t, whole[0].Address, "another peer doesn't")
+	assert.Empty(t, again[0].Address, "the peer has the static part")
+	complete, _ := table.Since(sameHallPeer(0), 10)
+	assert.NotEmpty(t, complete[0].Address, "another peer doesn't have it")
 	table.Receive(time.Time{}, "p", Fact{ID: "c", Address: "z", Incarnation: 1, Status: StatusLive})
-	back, _ := table.Since(near(next), 10)
+	back, _ := table.Since(sameHallPeer(next), 10)
 	assert.Len(t, back, 1, "what came from the peer isn't sent back to it")
 }
 
-// A node that was silent for long is forgotten. When it is back, a peer that thinks we
-// know it sends the short form, and has to be asked for everything.
-func TestForgottenNodeComesBack(t *testing.T) {
+// TestForgottenNodeReappears: a node that did not report for long is forgotten. When it reappears, a
+// peer that assumes that it is still known here sends the short form, and has to be asked for all
+// facts.
+func TestForgottenNodeReappears(t *testing.T) {
 	start := time.Unix(1000, 0)
 	n := Fact{ID: "n", Kind: KindNode, Address: "x", Incarnation: 1, Status: StatusLive}
 	ours, peer := NewTable(nil), NewTable(nil)
 	peer.Observe(start, n)
-	facts, position := peer.Since(near(0), 10)
+	facts, position := peer.Since(sameHallPeer(0), 10)
 	ours.Receive(start, "peer", facts...)
 	assert.Equal(t, 1, ours.Forget(start.Add(time.Hour)))
 	n.Sequence = 1
 	peer.Observe(start.Add(time.Hour), n)
-	facts, _ = peer.Since(near(position), 10)
+	facts, _ = peer.Since(sameHallPeer(position), 10)
 	_, missing := ours.Receive(start.Add(time.Hour), "peer", facts...)
 	assert.True(t, missing)
-	facts, _ = peer.Since(near(0), 10)
+	facts, _ = peer.Since(sameHallPeer(0), 10)
 	_, missing = ours.Receive(start.Add(time.Hour), "peer", facts...)
 	assert.False(t, missing)
 	_, known := ours.Get("n")
 	assert.True(t, known)
 }
 
-// TestOtherHallsGetStatusAtOnceAndLoadsSlowly: what a far peer gets.
+// TestOtherHallsGetStatusAtOnceAndLoadsSlowly checks which changes are sent to a peer in another hall.
 func TestOtherHallsGetStatusAtOnceAndLoadsSlowly(t *testing.T) {
 	table := NewTable(nil)
 	start := time.Unix(1000, 0)
 	f := Fact{ID: "a", Address: "x", Incarnation: 1, Status: StatusLive}
 	table.Observe(start, f)
 	_, next := table.Since(Peer{ID: "p", OtherHall: true}, 10)
-	far := func() []Fact {
+	send := func() []Fact {
 		l, n := table.Since(Peer{ID: "p", OtherHall: true, Sent: next}, 10)
 		next = n
 		return l
 	}
 	f.Sequence, f.Running = 1, 5
 	table.Observe(start.Add(time.Second), f)
-	assert.Empty(t, far(), "a load alone waits")
+	assert.Empty(t, send(), "a change of load alone waits")
 	f.Sequence, f.Running = 2, 6
-	table.Observe(start.Add(slowEvery), f)
-	assert.Len(t, far(), 1)
+	table.Observe(start.Add(defaultSlowInterval), f)
+	assert.Len(t, send(), 1)
 	f.Status = StatusLeaving
-	table.Observe(start.Add(slowEvery+time.Second), f)
-	assert.Equal(t, StatusLeaving, far()[0].Status)
+	table.Observe(start.Add(defaultSlowInterval+time.Second), f)
+	assert.Equal(t, StatusLeaving, send()[0].Status)
 }
 
-// TestShortFactsConverge: two tables that exchange only what Since gives end alike,
-// whatever was observed where and whichever exchanges were lost.
+// TestShortFactsConverge: two tables that exchange only what Since returns end up equal, whatever each
+// observed and whichever exchanges were lost.
 func TestShortFactsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{NewTable(nil), NewTable(nil)}
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -6,76 +6,75 @@
 	"time"
 )
 
-// Table is one node's view. Each change gets the next number of this table's own
-// change log, so that a peer is sent only what it hasn't been sent yet.
+// Table is one node's view of all VMs. Each change gets the next position in this table's own change
+// log, so that a peer is sent only what it hasn't been sent yet.
 //
-// Most changes are of loads and heartbeats, and those matter in the subject's own
-// hall only. So each entry stands in the log at three places: where anything of it
-// changed, where something changed that other halls need (its status, its
-// configuration, or its load as of a slow interval), and where its fixed part did.
-// A peer in another hall is sent the second kind, and a peer that has the fixed part
-// gets the short form without it.
+// Most changes are of loads and heartbeats, which matter only in the VM's own hall. So each entry has
+// three positions in the log: that of its last change, that of its last change that other halls need
+// (its status, its configuration, or its load once per slow interval), and that of the last change of
+// its static part. A peer in another hall is sent changes of the second kind, and a peer that has the
+// static part gets the short form without it.
 type Table struct {
-	mu        sync.RWMutex
-	entries   map[string]*entry
-	change    uint64
-	nodes     uint64 // see Nodes
-	upstreams uint64 // see Upstreams
-	slow      time.Duration
-	onChange  func(old, now Fact)
+	mu           sync.RWMutex
+	entries      map[string]*entry
+	change       uint64
+	nodes        uint64 // see NodesVersion
+	upstreams    uint64 // see UpstreamsVersion
+	slowInterval time.Duration
+	onChange     func(old, now Fact)
 }
 
 type entry struct {
-	fact   Fact
-	change uint64    // position of the last change
-	slow   uint64    // position of the last change that other halls need
-	born   uint64    // position of the last change of the fixed part
-	told   time.Time // when slow last moved
-	seen   time.Time // when the newest report came in, by this node's clock
-	source string    // the peer that the last change came from
+	fact         Fact
+	change       uint64    // position of the last change
+	slowChange   uint64    // position of the last change that other halls need
+	staticChange uint64    // position of the last change of the static part
+	slowAt       time.Time // when slowChange last moved
+	receivedAt   time.Time // when the newest report was received, by this node's clock
+	source       string    // the peer that the last change came from
 }
 
-// slowEvery is how often a mere change of load or heartbeat goes to other halls, unless
-// SetSlow says otherwise.
-const slowEvery = 20 * time.Second
+// defaultSlowInterval is how often changes of load or heartbeat alone go to other halls, unless
+// SetSlowInterval sets another interval.
+const defaultSlowInterval = 20 * time.Second
 
-// SetSlowInterval sets how often a mere change of load or heartbeat goes to other halls.
+// SetSlowInterval sets how often changes of load or heartbeat alone go to other halls.
 func (t *Table) SetSlowInterval(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slow = d
+	t.slowInterval = d
 }
 
-// Record is a fact with the time of this node at which its newest report came.
+// Record is a fact with the local time at which its newest report was received.
 type Record struct {
 	Fact
 	ReceivedAt time.Time
 }
 
-// NewTable returns an empty table. onChange is called, outside the lock, for
-// each fact whose status, incarnation or time of leaving changed; it may be nil.
+// NewTable returns an empty table. onChange is called, outside the lock, for each fact whose status,
+// incarnation or time of leaving changed; it may be nil.
 func NewTable(onChange func(old, now Fact)) *Table {
-	return &Table{entries: make(map[string]*entry), slow: slowEvery, onChange: onChange}
+	return &Table{entries: make(map[string]*entry), slowInterval: defaultSlowInterval, onChange: onChange}
 }
 
-// Observe merges facts that this node found out itself, and returns how many told
-// something new.
+// Observe merges facts that this node found out itself, and returns how many of them changed the table.
 func (t *Table) Observe(now time.Time, facts ...Fact) int {
 	n, _ := t.Receive(now, "", facts...)
 	return n
 }
 
-// Receive merges facts that came from a peer. missing says that a short fact was of a VM
-// whose fixed part isn't known here (any more): the peer has to be asked for everything.
-func (t *Table) Receive(now time.Time, source string, facts ...Fact) (fresh int, missing bool) {
+// Receive merges facts from a peer, and returns how many of them changed the table. missing reports
+// that a short fact was about a VM whose static part isn't, or is no longer, known here: the peer has
+// to be asked for all facts.
+func (t *Table) Receive(now time.Time, source string, facts ...Fact) (changes int, missing bool) {
 	type pair struct{ old, now Fact }
 	var changed []pair
 	n := 0
 	t.mu.Lock()
 	for _, f := range facts {
 		missing = missing || f.short() && t.entries[f.ID] == nil
-		old, news := t.merge(now, source, f)
-		if !news {
+		old, ok := t.merge(now, source, f)
+		if !ok {
 			continue
 		}
 		n++
@@ -99,14 +98,14 @@
 	return n, missing
 }
 
-func (t *Table) merge(now time.Time, source string, f Fact) (old Fact, fresh bool) {
+func (t *Table) merge(now time.Time, source string, f Fact) (old Fact, changed bool) {
 	e := t.entries[f.ID]
 	if e == nil && f.short() {
-		return Fact{}, false // the fixed part is still to come
+		return Fact{}, false // the static part is not known yet
 	}
 	if e == nil {
 		t.change++
-		t.entries[f.ID] = &entry{fact: f, change: t.change, slow: t.change, born: t.change, told: now, seen: now, source: source}
+		t.entries[f.ID] = &entry{fact: f, change: t.change, slowChange: t.change, staticChange: t.change, slowAt: now, receivedAt: now, source: source}
 		return Fact{}, true
 	}
 	old = e.fact
@@ -118,24 +117,24 @@
 		return old, false
 	}
 	if m.Sequence != old.Sequence || m.Incarnation != old.Incarnation {
-		e.seen = now
+		e.receivedAt = now
 	}
 	t.change++
 	e.fact, e.change, e.source = m, t.change, source
 	if m != f {
-		e.source = "" // merged with what was known here: the peer lacks that part
+		e.source = "" // merged with local knowledge, which the peer lacks
 	}
-	if !sameFixed(&m, &old) {
-		e.born = t.change
+	if !sameStatic(&m, &old) {
+		e.staticChange = t.change
 	}
-	if m.Status != old.Status || m.LeavesAt != old.LeavesAt || m.ConfigRevision != old.ConfigRevision || e.born == t.change || now.Sub(e.told) >= t.slow {
-		e.slow, e.told = t.change, now
+	if m.Status != old.Status || m.LeavesAt != old.LeavesAt || m.ConfigRevision != old.ConfigRevision || e.staticChange == t.change || now.Sub(e.slowAt) >= t.slowInterval {
+		e.slowChange, e.slowAt = t.change, now
 	}
 	return old, true
 }
 
-// Mark raises the status of a VM in the incarnation that is known. leavesAt is
-// when it goes, or the zero time.
+// Mark raises the status of a VM in the incarnation that is known. leavesAt is when it goes, or the
+// zero time.
 func (t *Table) Mark(now time.Time, id string, s Status, leavesAt time.Time) bool {
 	f, ok := t.Get(id)
 	if !ok {
@@ -156,24 +155,24 @@
 	if e == nil {
 		return Record{}, false
 	}
-	return Record{Fact: e.fact, ReceivedAt: e.seen}, true
+	return Record{Fact: e.fact, ReceivedAt: e.receivedAt}, true
 }
 
-// Select returns the facts that keep accepts, ordered by id.
+// Select returns the facts for which keep returns true, ordered by id.
 func (t *Table) Select(keep func(f *Fact) bool) []Record {
 	return t.SelectRecords(func(f *Fact, _ time.Time) bool { return keep(f) })
 }
 
-// Peer is who facts are sent to.
+// Peer is a node to which facts are sent.
 type Peer struct {
 	ID        string
-	OtherHall bool   // in another hall
-	Sent      uint64 // position up to which it has everything
+	OtherHall bool
+	Sent      uint64 // position up to which the peer has all changes
 }
 
-// Since returns the facts that a peer doesn't have yet, and the position to ask from
-// next. What came from that very peer is left out. At most limit facts are returned,
-// oldest change first, so a long list is sent in parts.
+// Since returns the facts that a peer doesn't have yet, and the position for the next call. Facts that
+// came from that peer are left out. At most limit facts are returned, oldest change first, so a long
+// list is sent in parts.
 func (t *Table) Since(p Peer, limit int) ([]Fact, uint64) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -195,7 +194,7 @@
 			continue
 		}
 		f := e.fact
-		if e.born <= p.Sent {
+		if e.staticChange <= p.Sent {
 			f = f.Short()
 		}
 		r = append(r, f)
@@ -205,27 +204,27 @@
 
 func (e *entry) position(p *Peer) uint64 {
 	if p.OtherHall {
-		return e.slow
+		return e.slowChange
 	}
 	return e.change
 }
 
-// UpstreamsVersion returns a number that changes whenever anything of an upstream does.
+// UpstreamsVersion returns a number that changes whenever any fact of an upstream changes.
 func (t *Table) UpstreamsVersion() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.upstreams
 }
 
-// Forget drops gone VMs, and nodes of which nothing was heard, since the given time. A VM
-// is kept long enough that no message about its old incarnation is still under way; a
-// node that is back after so long tells of itself anew.
+// Forget drops VMs that are gone, and nodes, whose newest report was received before the given time. A
+// VM is kept long enough that no message about its old incarnation is still under way; a node that
+// reappears after so long reports all about itself again.
 func (t *Table) Forget(before time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for id, e := range t.entries {
-		if (e.fact.Status == StatusGone || e.fact.Kind == KindNode) && e.seen.Before(before) {
+		if (e.fact.Status == StatusGone || e.fact.Kind == KindNode) && e.receivedAt.Before(before) {
 			delete(t.entries, id)
 			n++
 		}
@@ -233,13 +232,13 @@
 	return n
 }
 
-// SelectRecords is Select for conditions that need the time of the newest report, too.
+// SelectRecords is Select for conditions that also need the time of the newest report.
 func (t *Table) SelectRecords(keep func(f *Fact, at time.Time) bool) []Record {
 	t.mu.RLock()
 	var r []Record
 	for _, e := range t.entries {
-		if keep(&e.fact, e.seen) {
-			r = append(r, Record{Fact: e.fact, ReceivedAt: e.seen})
+		if keep(&e.fact, e.receivedAt) {
+			r = append(r, Record{Fact: e.fact, ReceivedAt: e.receivedAt})
 		}
 	}
 	t.mu.RUnlock()
@@ -247,7 +246,7 @@
 	return r
 }
 
-// NodesVersion returns a number that changes whenever a node comes or changes its status.
+// NodesVersion returns a number that changes whenever a node appears or changes its status.
 func (t *Table) NodesVersion() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
