--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestOnlyItsOwnConversationsMove: when an upstream goes, only conversations move whose
-// set it was in. The set's size is fixed, as it is while shares of work don't change.
+// TestOnlyItsOwnConversationsMove: when an upstream goes, only conversations whose set it was in move.
+// The size of the set is fixed, as it is while shares of work don't change.
 func TestOnlyItsOwnConversationsMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(Options{SetSize: 3})
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestNodesAgreeWithoutAWord(t *testing.T) {
+func TestNodesAgreeWithoutCommunication(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPrompt(t)
 		a, b := New(Options{SetSize: 3}), New(Options{SetSize: 3})
