--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,18 +1,19 @@
-// Package admit decides which requests may start now, which wait, and which are
-// refused, for one pool of upstreams as seen by one node. It is pure: time comes
-// in as a duration since any fixed start.
+// Package admit decides which requests may start now, which wait, and which are rejected, for one pool
+// of upstreams as seen by one node. It is pure: time is passed in as a duration since any fixed start.
 //
 // Three rules, in this order:
 //
 //   - A workspace never exceeds its own limits (rate, in flight, queue).
-//   - Live requests go before batch, and a reserve of slots is kept from batch, so
-//     that batch work takes what is left over and is shed first.
-//   - Within a class, workspaces share by weight: each request gets a virtual
-//     finish time, and the earliest goes first (start-time fair queueing).
+//   - Live requests go before batch requests, and a reserve of slots is kept from batch, so that batch
+//     work gets what is left over and is rejected first.
+//   - Within a class, workspaces share by weight: each request gets a virtual finish time, and the
+//     earliest goes first (start-time fair queueing).
 //
-// A request whose expected wait exceeds what its target leaves is refused at once,
-// with the time to come back at. Letting it wait and then expire was refused: it
-// costs the caller its whole deadline and the pool a slot.
+// A request whose expected wait exceeds what its latency target leaves is rejected at once, with the
+// time after which to retry.
+//
+// Alternatives considered: letting it wait and then expire. This costs the caller its whole deadline
+// and the pool a slot.
 package admit
 
 import (
@@ -21,7 +22,7 @@
 	"time"
 )
 
-// Class is what a request may wait for.
+// Class is the scheduling class of a request.
 type Class int
 
 // The classes, in the order in which they are served.
@@ -30,7 +31,7 @@
 	ClassBatch
 )
 
-// Decision is what happens to a request that is offered.
+// Decision is what happens to an offered request.
 type Decision int
 
 // The decisions.
@@ -40,7 +41,7 @@
 	DecisionReject
 )
 
-// Cause says why a request was refused.
+// Cause states why a request was rejected.
 type Cause string
 
 // The causes.
@@ -54,7 +55,7 @@
 	CauseExpired  Cause = "the request waited as long as its target allows"
 )
 
-// Limits bounds one workspace in this pool on this node.
+// Limits are the limits of one workspace in this pool on this node.
 type Limits struct {
 	Rate     float64 // requests a second; 0: no limit
 	InFlight int
@@ -62,45 +63,45 @@
 	Weight   float64 // weight in the fair queue
 }
 
-// Request is one request offered.
+// Request is an offered request.
 type Request struct {
 	ID        string
 	Workspace string
 	Class     Class
 	Limits    Limits
 	Cost      float64       // expected slot time in units of an average request
-	MaxWait   time.Duration // refused if it would wait longer
+	MaxWait   time.Duration // the request is rejected if it would wait longer
 }
 
-// Verdict is the decision with its cause and the time to come back.
+// Verdict is a decision with its cause and the time after which to retry.
 type Verdict struct {
 	Decision   Decision
 	Cause      Cause
 	RetryAfter time.Duration
 }
 
-// Options sets a controller.
+// Options configures a controller.
 type Options struct {
-	BatchReserve float64       // share of the slots that batch never takes
+	BatchReserve float64       // share of the slots that batch requests never get
 	ServiceTime  time.Duration // of an average request, until measured
-	FIFO         bool          // baseline: one queue, no classes, no early refusal
+	FIFO         bool          // baseline: one queue, no classes, no early rejection
 }
 
-// Controller admits to one pool.
+// Controller admits requests to one pool.
 type Controller struct {
-	o       Options
-	slots   float64
-	running [2]int
-	service float64 // measured, seconds
-	virtual [2]float64
-	queues  [2]queue
-	spaces  map[string]*space
-	waiting map[string]*item
-	active  map[string]*item
-	serial  int
-}
-
-type space struct {
+	o          Options
+	slots      float64
+	running    [2]int
+	service    float64 // measured, seconds
+	virtual    [2]float64
+	queues     [2]queue
+	workspaces map[string]*workspace
+	waiting    map[string]*item
+	active     map[string]*item
+	serial     int
+}
+
+type workspace struct {
 	tokens   float64
 	updated  time.Duration
 	inFlight int
@@ -108,17 +109,17 @@
 	finish   [2]float64
 }
 
-func (s *space) waiting() int { return s.queued[ClassLive] + s.queued[ClassBatch] }
+func (s *workspace) waiting() int { return s.queued[ClassLive] + s.queued[ClassBatch] }
 
 type item struct {
 	r        Request
 	finish   float64
 	serial   int
-	at       time.Duration
+	offered  time.Duration
 	index    int
 	deadline time.Duration
 	started  time.Duration
-	unserved bool // it found no upstream
+	unserved bool // no upstream was found for it
 }
 
 // New returns a controller with no slots.
@@ -127,40 +128,40 @@
 		o.ServiceTime = time.Second
 	}
 	return &Controller{
-		o: o, service: o.ServiceTime.Seconds(), spaces: make(map[string]*space),
+		o: o, service: o.ServiceTime.Seconds(), workspaces: make(map[string]*workspace),
 		waiting: make(map[string]*item), active: make(map[string]*item),
 	}
 }
 
-// SetSlots says how many requests the pool takes from this node at once, and
-// returns those that may start because of it.
+// SetSlots sets how many requests of this node the pool runs at once, and returns the waiting requests
+// that may start because of it.
 func (c *Controller) SetSlots(now time.Duration, n float64) []string {
 	c.slots = n
 	return c.start(now)
 }
 
-// Running returns the number of requests admitted and not done.
+// Running returns the number of requests that are admitted and not done.
 func (c *Controller) Running() int { return c.running[0] + c.running[1] }
 
 // Waiting returns the number of requests in the queues.
 func (c *Controller) Waiting() int { return len(c.waiting) }
 
-func (c *Controller) space(name string) *space {
-	s := c.spaces[name]
+func (c *Controller) workspace(name string) *workspace {
+	s := c.workspaces[name]
 	if s == nil {
-		s = &space{tokens: -1}
-		c.spaces[name] = s
+		s = &workspace{tokens: -1}
+		c.workspaces[name] = s
 	}
 	return s
 }
 
-// Offer asks for a request to be run.
+// Offer decides about a new request: it is admitted, queued or rejected.
 func (c *Controller) Offer(now time.Duration, r Request) Verdict {
-	s := c.space(r.Workspace)
+	s := c.workspace(r.Workspace)
 	if v := c.check(now, s, &r); v.Decision == DecisionReject {
 		return v
 	}
-	it := &item{r: r, at: now, serial: c.serial, deadline: now + r.MaxWait}
+	it := &item{r: r, offered: now, serial: c.serial, deadline: now + r.MaxWait}
 	c.serial++
 	if c.fits(r.Class) && c.queues[ClassLive].Len() == 0 && (r.Class == ClassLive || c.queues[ClassBatch].Len() == 0) {
 		c.admit(now, s, it)
@@ -173,18 +174,18 @@
 	return Verdict{Decision: DecisionWait}
 }
 
-func refuse(c Cause, after time.Duration) Verdict {
+func reject(c Cause, after time.Duration) Verdict {
 	return Verdict{Decision: DecisionReject, Cause: c, RetryAfter: max(after, minRetryAfter)}
 }
 
 const minRetryAfter = 100 * time.Millisecond
 
-func (c *Controller) check(now time.Duration, s *space, r *Request) Verdict {
+func (c *Controller) check(now time.Duration, s *workspace, r *Request) Verdict {
 	if c.slots <= 0 {
-		return refuse(CauseEmpty, time.Second)
+		return reject(CauseEmpty, time.Second)
 	}
 	if r.Limits.InFlight > 0 && s.inFlight+s.waiting() >= r.Limits.InFlight {
-		return refuse(CauseInFlight, c.averageService())
+		return reject(CauseInFlight, c.averageService())
 	}
 	if r.Limits.Rate <= 0 {
 		return Verdict{}
@@ -196,7 +197,7 @@
 	s.tokens = math.Min(burst, s.tokens+(now-s.updated).Seconds()*r.Limits.Rate)
 	s.updated = now
 	if s.tokens < 1 {
-		return refuse(CauseRate, time.Duration((1-s.tokens)/r.Limits.Rate*float64(time.Second)))
+		return reject(CauseRate, time.Duration((1-s.tokens)/r.Limits.Rate*float64(time.Second)))
 	}
 	s.tokens--
 	return Verdict{}
@@ -206,58 +207,60 @@
 	return time.Duration(c.service * float64(time.Second))
 }
 
-// Capacity returns the slots that requests share here, and how many of these end a second where all slots are taken.
+// Capacity returns the slots that requests share here, and how many requests end in a second while all
+// slots are in use.
 func (c *Controller) Capacity() (slots, perSecond float64) {
-	return c.slots, c.slots / max(c.service, leastService)
+	return c.slots, c.slots / max(c.service, minService)
 }
 
-// leastService keeps what a request is taken to last from being nothing, before one has been measured.
-const leastService = 0.001 // seconds
+// minService is the lower bound of the service time, which keeps it above zero before a request has
+// been measured.
+const minService = 0.001 // seconds
 
-// fits tells whether a slot is free for the class.
+// fits reports whether a slot is free for the class.
 func (c *Controller) fits(k Class) bool {
 	free := c.slots - float64(c.Running())
 	if k == ClassBatch && !c.o.FIFO {
-		free -= c.reserved()
+		free -= c.unusedReserve()
 	}
 	return free >= 1 || c.Running() == 0 && c.slots > 0 && (k == ClassLive || c.queues[ClassLive].Len() == 0)
 }
 
-// reserved is the part of the reserve that live work doesn't use already.
-func (c *Controller) reserved() float64 {
+// unusedReserve is the part of the reserve that live requests don't use already.
+func (c *Controller) unusedReserve() float64 {
 	return math.Max(0, c.o.BatchReserve*c.slots-float64(c.running[ClassLive]))
 }
 
-func (c *Controller) mayWait(s *space, r *Request) Verdict {
+func (c *Controller) mayWait(s *workspace, r *Request) Verdict {
 	if r.Limits.Queue > 0 && s.waiting() >= r.Limits.Queue {
-		return refuse(CauseQueue, c.expected(r))
+		return reject(CauseQueue, c.expectedWait(r))
 	}
-	if w := c.expected(r); w > r.MaxWait && !c.o.FIFO {
-		return refuse(CauseWait, w-r.MaxWait)
+	if w := c.expectedWait(r); w > r.MaxWait && !c.o.FIFO {
+		return reject(CauseWait, w-r.MaxWait)
 	}
 	return Verdict{}
 }
 
-// expected is the wait of a request offered now: the work queued before it, over
-// the slots. A workspace with little queued goes before one with much, so what
-// counts is its own share of the queue.
-func (c *Controller) expected(r *Request) time.Duration {
+// expectedWait is the wait of a request offered now: the work queued before it, over the slots. A
+// workspace with few queued requests goes before one with many, so its own share of the queue is what
+// counts.
+func (c *Controller) expectedWait(r *Request) time.Duration {
 	ahead := float64(c.queues[ClassLive].Len())
 	if r.Class == ClassBatch || c.o.FIFO {
 		ahead += float64(c.queues[ClassBatch].Len())
 	}
-	// Only its own class counts: a workspace with many jobs waiting must not have its
-	// live requests refused for them.
-	own := c.space(r.Workspace).queued[r.Class]
-	ahead = math.Min(ahead, float64(own+1)*float64(c.busySpaces(r.Class)))
+	// Only its own class counts: live requests of a workspace must not be rejected because it has many
+	// jobs waiting.
+	own := c.workspace(r.Workspace).queued[r.Class]
+	ahead = math.Min(ahead, float64(own+1)*float64(c.busyWorkspaces(r.Class)))
 	return time.Duration((ahead + 1) / c.slots * c.service * float64(time.Second))
 }
 
-// busySpaces counts the workspaces with requests of a class waiting, and one more for
-// who asks.
-func (c *Controller) busySpaces(k Class) int {
+// busyWorkspaces returns the number of workspaces that have waiting requests of a class, plus one for
+// the workspace of the offered request.
+func (c *Controller) busyWorkspaces(k Class) int {
 	n := 1
-	for _, s := range c.spaces {
+	for _, s := range c.workspaces {
 		if s.queued[k] > 0 {
 			n++
 		}
@@ -265,7 +268,7 @@
 	return n
 }
 
-func (c *Controller) enqueue(s *space, it *item) {
+func (c *Controller) enqueue(s *workspace, it *item) {
 	k := it.r.Class
 	if c.o.FIFO {
 		it.finish = float64(it.serial)
@@ -279,14 +282,14 @@
 	heap.Push(&c.queues[k], it)
 }
 
-func (c *Controller) admit(now time.Duration, s *space, it *item) {
+func (c *Controller) admit(now time.Duration, s *workspace, it *item) {
 	s.inFlight++
 	it.started = now
 	c.running[it.r.Class]++
 	c.active[it.r.ID] = it
 }
 
-// start admits from the queues what fits, live first.
+// start admits from the queues what fits, live requests first.
 func (c *Controller) start(now time.Duration) []string {
 	var r []string
 	for {
@@ -296,7 +299,7 @@
 		}
 		it := heap.Pop(&c.queues[k]).(*item)
 		delete(c.waiting, it.r.ID)
-		s := c.space(it.r.Workspace)
+		s := c.workspace(it.r.Workspace)
 		s.queued[k]--
 		c.virtual[k] = math.Max(c.virtual[k], it.finish)
 		c.admit(now, s, it)
@@ -322,15 +325,16 @@
 	return -1
 }
 
-// MarkUnserved says that an admitted request found no upstream, so that its end tells nothing of the service time: callers
-// that are turned away at once would make waits look short that aren't.
+// MarkUnserved records that no upstream was found for an admitted request, so that its end does not
+// count as a measurement of the service time: requests rejected at once would make expected waits too
+// short.
 func (c *Controller) MarkUnserved(id string) {
 	if it := c.active[id]; it != nil {
 		it.unserved = true
 	}
 }
 
-// Done says that an admitted request has ended, and returns those that may start.
+// Done records that an admitted request has ended, and returns the waiting requests that may start.
 func (c *Controller) Done(now time.Duration, id string) []string {
 	it := c.active[id]
 	if it == nil {
@@ -338,26 +342,26 @@
 	}
 	delete(c.active, id)
 	c.running[it.r.Class]--
-	c.space(it.r.Workspace).inFlight--
+	c.workspace(it.r.Workspace).inFlight--
 	if !it.unserved {
 		c.service += serviceGain * ((now - it.started).Seconds() - c.service)
 	}
-	c.tidy(it.r.Workspace)
+	c.dropIdle(it.r.Workspace)
 	return c.start(now)
 }
 
-// serviceGain weighs a new measurement of the service time.
+// serviceGain is the weight of a new measurement of the service time.
 const serviceGain = 0.05
 
-// tidy drops a workspace that has nothing here, so that memory follows use.
-func (c *Controller) tidy(name string) {
-	s := c.spaces[name]
+// dropIdle drops the state of a workspace that has no requests here, so that memory follows use.
+func (c *Controller) dropIdle(name string) {
+	s := c.workspaces[name]
 	if s.inFlight == 0 && s.waiting() == 0 && s.tokens < 0 {
-		delete(c.spaces, name)
+		delete(c.workspaces, name)
 	}
 }
 
-// Cancel takes a waiting request out, and tells whether it was waiting.
+// Cancel removes a waiting request, and reports whether it was waiting.
 func (c *Controller) Cancel(id string) bool {
 	it := c.waiting[id]
 	if it == nil {
@@ -365,11 +369,11 @@
 	}
 	heap.Remove(&c.queues[it.r.Class], it.index)
 	delete(c.waiting, id)
-	c.space(it.r.Workspace).queued[it.r.Class]--
+	c.workspace(it.r.Workspace).queued[it.r.Class]--
 	return true
 }
 
-// Expire takes out the waiting requests that have waited as long as they may.
+// Expire removes and returns the requests whose maximum wait is over.
 func (c *Controller) Expire(now time.Duration) []string {
 	var r []string
 	for id, it := range c.waiting {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEveryRequestIsAccountedForOnce: whatever comes in whatever order, a request runs,
-// waits or is refused, never two of them; no more run than there are slots; and when all
-// is done nothing is left.
+// TestEveryRequestIsAccountedForOnce: for any sequence of requests, each of them runs, waits or is
+// rejected, and never two of these; no more run than there are slots; and when all are done nothing is
+// left.
 func TestEveryRequestIsAccountedForOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(Options{BatchReserve: 0.25, ServiceTime: time.Second})
@@ -41,7 +41,7 @@
 				case DecisionWait:
 					waiting[id] = true
 				default:
-					assert.Positive(t, v.RetryAfter, "told when to come back")
+					assert.Positive(t, v.RetryAfter, "a rejection states when to retry")
 				}
 			case 2:
 				for id := range running {
@@ -66,12 +66,12 @@
 				break
 			}
 		}
-		assert.Empty(t, waiting, "slots are free, and somebody waits")
+		assert.Empty(t, waiting, "requests wait although slots are free")
 		assert.Zero(t, c.Running())
 	})
 }
 
-// TestRequestsThatFindNoUpstream: they end at once, which makes nobody's wait shorter.
+// TestRequestsThatFindNoUpstream: such requests end at once, which must not shorten the expected waits.
 func TestRequestsThatFindNoUpstream(t *testing.T) {
 	c := New(Options{ServiceTime: time.Second})
 	c.SetSlots(0, 2)
