--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// engine answers as the model says, with noise of a step.
+// engine responds as the model says, with noise of up to one step.
 type engine struct {
 	reading, first, token, step float64
 	r                           *rand.Rand
@@ -22,8 +22,8 @@
 	return time.Duration((ms + e.step*e.r.Float64()) * float64(time.Millisecond))
 }
 
-// teach lets a learner see so many answers, of which a share waited for long for something
-// that no node knew of. It returns the time at the end.
+// teach gives a learner so many responses, of which a share waited for long for a cause unknown to the
+// nodes. It returns the time at the end.
 func (e *engine) teach(l *Learner, n int, waited float64) time.Time {
 	now := start
 	for i := 0; i < n; i++ {
@@ -41,7 +41,7 @@
 	return now
 }
 
-// assertLearned checks what was learned against the engine itself.
+// assertLearned compares what was learned with the engine itself.
 func assertLearned(t assert.TestingT, e *engine, got Engine) {
 	assert.InEpsilon(t, e.reading, got.Reading, 0.2, "tokens a millisecond")
 	assert.InDelta(t, e.first+e.step/2, got.First, 0.2*e.first+e.step, "first event")
@@ -62,22 +62,22 @@
 	})
 }
 
-func TestLearnerBelieves(t *testing.T) {
+func TestLearnerUses(t *testing.T) {
 	newEngine := func() *engine {
 		return &engine{reading: 90, first: 30, token: 5, step: 5, r: rand.New(rand.NewPCG(1, 2))}
 	}
-	t.Run("no few answers", func(t *testing.T) {
+	t.Run("not a few responses", func(t *testing.T) {
 		var l Learner
-		now := newEngine().teach(&l, samplesLeast-1, 0)
+		now := newEngine().teach(&l, minSamples-1, 0)
 		assert.False(t, l.Engine(now.Add(time.Second)).Known())
 	})
-	t.Run("most answers, where one of seven waited", func(t *testing.T) {
+	t.Run("most responses, where one of seven waited", func(t *testing.T) {
 		e := newEngine()
 		var l Learner
 		now := e.teach(&l, 400, 1.0/7)
 		assertLearned(t, e, l.Engine(now))
 	})
-	t.Run("no prompts of one length", func(t *testing.T) {
+	t.Run("no prompts of equal length", func(t *testing.T) {
 		var l Learner
 		for i := 0; i < 100; i++ {
 			l.ObserveFirst(start, 1000, time.Duration(20+i)*time.Millisecond)
@@ -93,7 +93,7 @@
 		now := e.teach(&l, 500, 0)
 		assertLearned(t, e, l.Engine(now.Add(time.Second)))
 	})
-	t.Run("what it recalls, until it has learned itself", func(t *testing.T) {
+	t.Run("restored figures, until it has learned its own", func(t *testing.T) {
 		e := newEngine()
 		var l Learner
 		l.Restore(Engine{Reading: 30, First: 60, Token: 8})
@@ -101,7 +101,7 @@
 		now := e.teach(&l, 400, 0)
 		assertLearned(t, e, l.Engine(now))
 	})
-	t.Run("what it knew, while nothing comes", func(t *testing.T) {
+	t.Run("its last figures, while no samples arrive", func(t *testing.T) {
 		e := newEngine()
 		var l Learner
 		now := e.teach(&l, 400, 0).Add(time.Hour)
@@ -118,10 +118,10 @@
 		assert.Equal(t, sound.Reading, m.Reading)
 		assert.Equal(t, 256, m.Samples)
 	})
-	t.Run("a new node knows what others do", func(t *testing.T) {
+	t.Run("a new node uses the figures of others", func(t *testing.T) {
 		assert.Equal(t, sound, Merge([]Engine{{}, sound}))
 	})
-	t.Run("nobody knows anything", func(t *testing.T) {
+	t.Run("no node has figures", func(t *testing.T) {
 		assert.False(t, Merge([]Engine{{}, {}}).Known())
 	})
 }
@@ -141,11 +141,11 @@
 		n     float64
 		binds Resource
 	}{
-		"reading alone":               {Work{Prefill: 2.6, Slots: 0.1}, 4, ResourcePrefill},
-		"slots alone":                 {Work{Slots: 4}, 5, ResourceSlots},
-		"slots beside reading":        {Work{Prefill: 3, Slots: 4}, 8, ResourceSlots},
-		"memory beside reading":       {Work{Prefill: 3, Slots: 1, Memory: 4.5}, 8, ResourceMemory},
-		"what waits for memory first": {Work{Memory: 0.9}, 1, ResourceMemory},
+		"reading alone":         {Work{Prefill: 2.6, Slots: 0.1}, 4, ResourcePrefill},
+		"slots alone":           {Work{Slots: 4}, 5, ResourceSlots},
+		"slots beside reading":  {Work{Prefill: 3, Slots: 4}, 8, ResourceSlots},
+		"memory beside reading": {Work{Prefill: 3, Slots: 1, Memory: 4.5}, 8, ResourceMemory},
+		"memory alone":          {Work{Memory: 0.9}, 1, ResourceMemory},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, binds := c.w.Engines(shares)
@@ -153,7 +153,7 @@
 			assert.Equal(t, c.binds, binds)
 		})
 	}
-	t.Run("what few engines held up counts as on many", func(t *testing.T) {
+	t.Run("work delayed on few engines counts as on many", func(t *testing.T) {
 		few := Work{Prefill: 3, Slots: 4}.Uncontended(6)
 		assert.Equal(t, Work{Prefill: 3, Slots: 2}, few)
 		assert.InEpsilon(t, 4.0, Work{Prefill: 3, Slots: 4}.Uncontended(600).Slots, 0.01)
@@ -163,14 +163,14 @@
 
 func TestUnknownEnginesTakeNoWork(t *testing.T) {
 	assert.Zero(t, Engine{Reading: 90}.Work(1000, 100, Size{Slots: 8}))
-	assert.Positive(t, Engine{}.FirstEventDelay(1000), "but a choice needs some figure")
+	assert.Positive(t, Engine{}.FirstEventDelay(1000), "a choice needs a figure")
 }
 
-// BenchmarkFit: the fit of a full ring takes some 0.2 ms of a core, once a second a service.
+// BenchmarkFit: fitting a full ring takes some 0.2 ms of a core, once a second for each service.
 func BenchmarkFit(b *testing.B) {
 	e := &engine{reading: 90, first: 30, token: 5, step: 5, r: rand.New(rand.NewPCG(1, 2))}
 	var l Learner
-	now := e.teach(&l, samplesKept, 0)
+	now := e.teach(&l, maxSamples, 0)
 	for b.Loop() {
 		l.fit(now)
 	}
