--- a/internal/reclaim/reclaim_test.go
+++ b/internal/reclaim/reclaim_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlanFitsTheNotice: each stream gets exactly one step, the exports together fit into
-// the notice, and no live stream is computed again while a batch stream is exported that
-// takes as long.
+// TestPlanFitsTheNotice: each stream gets exactly one step, the exports together fit into the notice,
+// and no live stream is computed again while a batch stream is exported whose transfer takes at least
+// as long.
 func TestPlanFitsTheNotice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "n")
@@ -36,7 +36,7 @@
 		assert.LessOrEqual(t, total, o.Notice)
 		for i, a := range seen {
 			for j, b := range seen {
-				if a == ActionResume && list[i].Live && list[i].Tokens >= fewTokens && b == ActionExport && !list[j].Live {
+				if a == ActionResume && list[i].Live && list[i].Tokens >= minExportTokens && b == ActionExport && !list[j].Live {
 					assert.Less(t, o.transfer(&list[j]), o.transfer(&list[i]))
 				}
 			}
