--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,13 +1,13 @@
-// Package usage counts the requests that began to run, by workspace, in windows of the
-// wall clock, over all nodes together.
+// Package usage counts the requests that started to run, by workspace and by window of the wall clock,
+// over all nodes.
 //
-// Each process counts for itself and tells its counts in every report; the others keep
-// the newest counts of each process they heard, so that a process that dies loses only
-// what it counted since its last report, and whoever reports to the platform has a sum
-// at hand. Counts only grow, so a lost, repeated or late report does no harm.
+// Each process counts for itself and sends its counts in every report; the other nodes keep the newest
+// counts received from each process, so that a process that crashes loses only what it counted since
+// its last report, and the node that reports to the platform has the sum ready. Counts only grow, so a
+// lost, repeated or late report does no harm.
 //
-// Weighed: each process writes its counts to the store for each window. It survives the
-// loss of all processes at once, but costs a write a node and window.
+// Alternatives considered: each process writes its counts to the store for each window. It survives the
+// loss of all processes at once, but costs a write for each node and window.
 package usage
 
 import (
@@ -15,30 +15,30 @@
 	"time"
 )
 
-// keep is the number of windows that counts are kept for: those that are still due, and
+// keptWindows is the number of windows for which counts are kept: those that are not reported yet, and
 // some for a successor that has to catch up.
-const keep = 8
+const keptWindows = 8
 
-// Counts is requests by workspace.
+// Counts holds requests by workspace.
 type Counts map[string]int64
 
-// Windows is counts by window number.
+// Windows holds counts by window number.
 type Windows map[int64]Counts
 
-// process names one life of one node.
-type process struct{ node, lifetime string }
+// process identifies one incarnation of a node.
+type process struct{ node, incarnation string }
 
-// Tracker is what one node knows of all counts. It isn't safe for concurrent use.
+// Tracker holds what one node knows of all counts. It isn't safe for concurrent use.
 type Tracker struct {
 	length time.Duration
 	own    process
-	heard  map[process]Windows
+	counts map[process]Windows
 }
 
-// New returns the book of one process. length is the time that a window covers.
-func New(node, lifetime string, length time.Duration) *Tracker {
-	b := &Tracker{length: length, own: process{node, lifetime}, heard: make(map[process]Windows)}
-	b.heard[b.own] = make(Windows)
+// New returns the tracker of one process. length is the time that a window covers.
+func New(node, incarnation string, length time.Duration) *Tracker {
+	b := &Tracker{length: length, own: process{node, incarnation}, counts: make(map[process]Windows)}
+	b.counts[b.own] = make(Windows)
 	return b
 }
 
@@ -48,28 +48,28 @@
 // WindowEnd returns when a window ends.
 func (b *Tracker) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(b.length)) }
 
-// Add counts a request of a workspace that began to run at t.
+// Add counts a request of a workspace that started to run at t.
 func (b *Tracker) Add(t time.Time, workspace string) {
-	w, k := b.heard[b.own], b.Window(t)
+	w, k := b.counts[b.own], b.Window(t)
 	if w[k] == nil {
 		w[k] = make(Counts)
 	}
 	w[k][workspace]++
 }
 
-// Own returns this process's counts. The caller doesn't change them.
-func (b *Tracker) Own() Windows { return b.heard[b.own] }
+// Own returns this process's counts. The caller must not change them.
+func (b *Tracker) Own() Windows { return b.counts[b.own] }
 
-// Merge takes in the counts of a process, heard from it or from another node.
-func (b *Tracker) Merge(node, lifetime string, w Windows) {
-	p := process{node, lifetime}
+// Merge merges the counts of a process, received from it or from another node.
+func (b *Tracker) Merge(node, incarnation string, w Windows) {
+	p := process{node, incarnation}
 	if p == b.own {
 		return
 	}
-	old := b.heard[p]
+	old := b.counts[p]
 	if old == nil {
 		old = make(Windows)
-		b.heard[p] = old
+		b.counts[p] = old
 	}
 	for k, c := range w {
 		if old[k] == nil {
@@ -81,11 +81,11 @@
 	}
 }
 
-// EachOther calls f for the counts of each process but this one.
-func (b *Tracker) EachOther(f func(node, lifetime string, w Windows)) {
-	for p, w := range b.heard {
+// EachOther calls f for the counts of each process except this one.
+func (b *Tracker) EachOther(f func(node, incarnation string, w Windows)) {
+	for p, w := range b.counts {
 		if p != b.own {
-			f(p.node, p.lifetime, w)
+			f(p.node, p.incarnation, w)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // Sum returns the counts of a window over all processes.
 func (b *Tracker) Sum(window int64) Counts {
 	sum := make(Counts)
-	for _, w := range b.heard {
+	for _, w := range b.counts {
 		for n, v := range w[window] {
 			sum[n] += v
 		}
@@ -101,10 +101,10 @@
 	return sum
 }
 
-// Processes returns how many processes have counted anything in a window.
+// Processes returns how many processes have counted requests in a window.
 func (b *Tracker) Processes(window int64) int {
 	n := 0
-	for _, w := range b.heard {
+	for _, w := range b.counts {
 		if len(w[window]) > 0 {
 			n++
 		}
@@ -114,11 +114,11 @@
 
 // Forget drops the windows that are no longer needed at t.
 func (b *Tracker) Forget(t time.Time) {
-	oldest := b.Window(t) - keep
-	for p, w := range b.heard {
+	oldest := b.Window(t) - keptWindows
+	for p, w := range b.counts {
 		maps.DeleteFunc(w, func(k int64, _ Counts) bool { return k < oldest })
 		if len(w) == 0 && p != b.own {
-			delete(b.heard, p)
+			delete(b.counts, p)
 		}
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -21,11 +21,12 @@
 	assert.Equal(t, start.Add(length), b.WindowEnd(k).In(start.Location()))
 }
 
-// TestSumIsTheTruthHoweverReportsCome sends reports late, twice and out of order.
-func TestSumIsTheTruthHoweverReportsCome(t *testing.T) {
+// TestSumOfLateAndRepeatedReports merges reports late, repeatedly and out of order; the sum must still
+// be what was counted.
+func TestSumOfLateAndRepeatedReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("a", "1", length), New("b", "1", length)
-		truth := map[int64]int64{}
+		want := map[int64]int64{}
 		var sent []Windows
 		for i := 0; i < 50; i++ {
 			at := start.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
@@ -34,7 +35,7 @@
 				n = b
 			}
 			n.Add(at, "w")
-			truth[a.Window(at)]++
+			want[a.Window(at)]++
 			sent = append(sent, copied(b.Own()))
 		}
 		sent = append(sent, copied(b.Own()))
@@ -42,7 +43,7 @@
 			a.Merge("b", "1", sent[rapid.IntRange(0, len(sent)-1).Draw(t, "report")])
 		}
 		a.Merge("b", "1", sent[len(sent)-1])
-		for k, v := range truth {
+		for k, v := range want {
 			assert.Equal(t, v, a.Sum(k)["w"])
 		}
 	})
@@ -59,8 +60,8 @@
 	return r
 }
 
-func TestBook(t *testing.T) {
-	t.Run("lives of a node add up", func(t *testing.T) {
+func TestTracker(t *testing.T) {
+	t.Run("incarnations of a node add up", func(t *testing.T) {
 		b := New("a", "1", length)
 		k := b.Window(start)
 		b.Merge("b", "1", Windows{k: {"w": 2}})
@@ -68,17 +69,17 @@
 		b.Merge("a", "0", Windows{k: {"w": 4}})
 		assert.Equal(t, Counts{"w": 9}, b.Sum(k))
 	})
-	t.Run("its own counts aren't taken from others", func(t *testing.T) {
+	t.Run("its own counts aren't merged from other nodes", func(t *testing.T) {
 		b := New("a", "1", length)
 		b.Add(start, "w")
 		b.Merge("a", "1", Windows{b.Window(start): {"w": 7}})
 		assert.Equal(t, Counts{"w": 1}, b.Sum(b.Window(start)))
 	})
-	t.Run("old windows go", func(t *testing.T) {
+	t.Run("old windows are dropped", func(t *testing.T) {
 		b := New("a", "1", length)
 		b.Add(start, "w")
 		b.Merge("b", "1", Windows{b.Window(start): {"w": 1}})
-		b.Forget(start.Add((keep + 1) * length))
+		b.Forget(start.Add((keptWindows + 1) * length))
 		assert.Empty(t, b.Sum(b.Window(start)))
 		n := 0
 		b.EachOther(func(string, string, Windows) { n++ })
