--- a/internal/pair/pair_test.go
+++ b/internal/pair/pair_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// node is one node, and what it knows of the others.
+// node is one node and its state of the others.
 type node struct {
 	name   string
 	others []Peer
@@ -32,9 +32,9 @@
 	return nodes
 }
 
-// play lets the nodes swap for some rounds, and returns the most calls that a node made in a round and
-// the longest time for which a pair swapped none.
-func play(nodes []*node, rounds int) (calls int, longest time.Duration) {
+// simulate runs the exchanges of the nodes for some rounds, and returns the maximum number of calls
+// that a node made in a round and the longest time for which a pair did not exchange.
+func simulate(nodes []*node, rounds int) (calls int, longest time.Duration) {
 	by := make(map[string]*node)
 	for _, n := range nodes {
 		by[n.name] = n
@@ -76,27 +76,28 @@
 	}
 }
 
-func TestPace(t *testing.T) {
-	t.Run("few nodes swap in each round", func(t *testing.T) {
-		_, longest := play(fleet(8), 100)
+func TestInterval(t *testing.T) {
+	t.Run("few nodes exchange in each round", func(t *testing.T) {
+		_, longest := simulate(fleet(8), 100)
 		assert.Equal(t, Round, longest)
 	})
 	for _, size := range []int{77, 200} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
-			most, longest := play(fleet(size), 4*int(Interval(size)/Round))
-			assert.LessOrEqual(t, most, aRound, "a node's calls don't grow with the fleet")
+			most, longest := simulate(fleet(size), 4*int(Interval(size)/Round))
+			assert.LessOrEqual(t, most, pairsPerRound, "a node's calls don't grow with the fleet")
 			assert.Less(t, longest, 2*Interval(size))
 			assert.Less(t, longest, UnresponsiveAfter(size))
 		})
 	}
 }
 
-// TestUnheardNodeIsCalledFromBothSides: one side of a pair may not get through.
-func TestUnheardNodeIsCalledFromBothSides(t *testing.T) {
+// TestUnresponsiveNodeIsCalledFromBothSides: calls in one direction of a pair may fail, so both sides
+// have to call.
+func TestUnresponsiveNodeIsCalledFromBothSides(t *testing.T) {
 	nodes := fleet(2)
 	now := time.Unix(1000, 0)
 	for _, n := range nodes {
-		assert.Len(t, Due(now, n.name, n.others), 1, "nobody is heard yet")
+		assert.Len(t, Due(now, n.name, n.others), 1, "no node has exchanged yet")
 	}
 	for _, n := range nodes {
 		n.others[0].LastSeen, n.others[0].LastCalled = now, now
@@ -110,7 +111,7 @@
 	assert.Equal(t, 2, due())
 }
 
-// TestBusyNodesArentCalled: a call that is under way isn't doubled, however long it takes.
+// TestBusyNodesArentCalled: no second call starts while one is in progress, however long it takes.
 func TestBusyNodesArentCalled(t *testing.T) {
 	n := fleet(3)[0]
 	for i := range n.others {
