--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -12,14 +12,14 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// TestCallersThatAreTooMany: under ten times the traffic a node ran out of descriptors. Callers
-// waited for seconds in its listener's queue, and what they had sent was sent on when they had
-// left. The evidence: accept failed for 3.6 s, the request's own line says that it took 6 ms.
-func TestCallersThatAreTooMany(t *testing.T) {
+// TestTooManyCallers: a node under ten times its usual traffic must not run out of descriptors. Without
+// a limit, accept failed for 3.6 s; callers waited in the listener's queue for seconds, and their
+// requests were forwarded after they had left. The log line of such a request stated only 6 ms.
+func TestTooManyCallers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	clock := timer.NewManual(time.Unix(1000, 0))
-	w := &Listener{Listener: l, clock: clock.Service(), log: zap.NewNop(), most: 2}
+	w := &Listener{Listener: l, clock: clock.Service(), log: zap.NewNop(), maxOpen: 2}
 	taken := make(chan net.Conn, 8)
 	go func() {
 		for {
@@ -43,17 +43,17 @@
 	<-taken
 	assert.False(t, w.Failing(clock.Service().Now()))
 	_, err = call().Read(make([]byte, 1))
-	assert.Error(t, err, "it is closed at once")
-	assert.True(t, w.Failing(clock.Service().Now()), "and the balancer is told")
+	assert.Error(t, err, "a connection above the limit must be closed at once")
+	assert.True(t, w.Failing(clock.Service().Now()), "the listener must report the failure")
 	require.NoError(t, first.Close())
-	_ = first.Close() // counts once
+	_ = first.Close() // a second close must not count
 	call()
 	assert.NotNil(t, <-taken)
 	assert.Equal(t, int64(2), w.open.Load())
 	require.NoError(t, l.Close())
 	<-taken
-	t.Run("how many", func(t *testing.T) {
-		assert.Zero(t, mostCallers(0))
-		assert.Equal(t, int64(1665), mostCallers(4100))
+	t.Run("limit by descriptors", func(t *testing.T) {
+		assert.Zero(t, maxCallers(0))
+		assert.Equal(t, int64(1665), maxCallers(4100))
 	})
 }
