--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -181,8 +181,7 @@
 	})
 }
 
-// TestForget checks that a holder told of the loss of its lease by the store stops at once, and may
-// take it again.
+// TestForget checks that a holder stops at once when the store has lost its lease, and may take it again.
 func TestForget(t *testing.T) {
 	c := timer.NewManual(time.Unix(1000, 0))
 	l := New(testPlatform(t, c.Service()), c.Service(), "forgotten", "h", ttl)
