--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -42,7 +42,7 @@
 // Leaving takes this node's streams off an upstream that has so long left. Streams
 // that can end, end; of the others, those worth it have their KV cache exported to
 // a successor first, and all go on elsewhere at the offset they had reached.
-func (d *Dispatcher) Leaving(ctx context.Context, f member.Fact, notice time.Duration) {
+func (d *Dispatcher) MoveStreams(ctx context.Context, f member.Fact, notice time.Duration) {
 	p := d.pool(f.Service)
 	moves, plan := p.plan(f, notice)
 	if len(moves) == 0 {
--- a/internal/edge/counted.go
+++ b/internal/edge/counted.go
@@ -108,7 +108,7 @@
 			list = append(list, processCounts{node, lifetime, w})
 		}
 	}
-	add(n.s.Node, n.o.Lifetime, n.usage.Own())
+	add(n.s.Node, n.o.Incarnation, n.usage.Own())
 	n.usage.EachOther(add)
 	return list
 }
--- a/internal/edge/counted_test.go
+++ b/internal/edge/counted_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	n := holder(t, kv, clock, name)
 	n.s = &Settings{Node: name}
-	n.o.Lifetime = lifetime
+	n.o.Incarnation = lifetime
 	n.usage = usage.New(name, lifetime, 5*time.Second)
 	return n
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -23,7 +23,7 @@
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
 		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, WindowEnd: n.usage.WindowEnd, Counts: n.counts, Deadline: n.s.UsageLate,
+		Window: n.usage.Window, WindowEnd: n.usage.WindowEnd, Counts: n.counts, Deadline: n.s.UsageDeadline,
 		MaybeReported: func(w int64) bool { return e.doubts(n.usage.WindowEnd(w)) },
 	})
 	n.lease.OnError(func(err error) {
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, c.Observe(1))
 	v.Node = holder(t, erasKV(v.keys, c), clock.Service(), "a")
 	v.Node.era, v.Node.s = c, &Settings{Node: "a"}
-	v.Node.suspects = quarantine.NewBook("a")
+	v.Node.suspects = quarantine.NewTracker("a")
 	c.OnRise(func(era.Rise) { v.Node.lease.Forget() })
 	return v
 }
@@ -81,8 +81,8 @@
 	token := takeOver(t, n.Node)
 	copied := n.keys.Copy()
 	now := n.clock.Service().Now()
-	for i := range quarantine.Proof {
-		n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: string(rune('a' + i)), At: now})
+	for i := range quarantine.CrashThreshold {
+		n.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: deadlyPrint, Upstream: string(rune('a' + i)), At: now})
 	}
 	var q heldRequests
 	q.write(ctx, n.Node, token)
@@ -108,7 +108,7 @@
 			v.begin(ctx, n.Node)
 			v.write(ctx, n.Node, token, copied)
 			c := n.keys.Copy()
-			n.pools.Recall("llm", now)
+			n.pools.RestoreEngine("llm", now)
 			v.write(ctx, n.Node, token, n.pools.Learned())
 			token = n.giveBack(t, c)
 			v.begin(ctx, n.Node)
--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -21,15 +21,15 @@
 		return
 	}
 	if v.Leaving && !n.pools.Leaving(e) {
-		n.update("answer", func(_ time.Time, l *pool.List) { l.Leave(e) })
+		n.update("answer", func(_ time.Time, l *pool.List) { l.MarkLeaving(e) })
 	}
-	if v.Cooldown > 0 && n.pools.Rest(e, v.Cooldown) {
+	if v.Cooldown > 0 && n.pools.StartCooldown(e, v.Cooldown) {
 		upstreamEvents.Add("rests", 1)
 		n.log.Info("upstream_rests", zap.String("upstream", e.ID), zap.String("service", e.Service), zap.Int64("born", e.Born), zap.Duration("for", v.Cooldown))
 	}
 	n.noteUnread(e, v.UnknownHeaders)
-	if n.pools.HearLimit(e, v.Limit, sent) {
-		n.noteLimit("answer", limit.Word{Of: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Status == call.LimitNone})
+	if n.pools.ObserveLimit(e, v.Limit, sent) {
+		n.noteLimit("answer", limit.Observation{Upstream: e.Incarnation(), Rate: v.Limit.Rate, Lifted: v.Limit.Status == call.LimitNone})
 	}
 }
 
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return 0, err
 	}
-	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Lifetime, Hall: n.s.Hall, Cores: n.s.Cores})
+	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Incarnation, Hall: n.s.Hall, Cores: n.s.Cores})
 	if err != nil {
 		return 0, err
 	}
@@ -96,7 +96,7 @@
 		return // nothing is known of it
 	}
 	var v memberValue
-	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Lifetime {
+	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Incarnation {
 		return
 	}
 	n.log.Warn("previous_killed", zap.String("lifetime", v.Lifetime), zap.Int64("registered_at", r.Pairs[0].Modified))
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -52,8 +52,8 @@
 	version  int64                  // of its catalog
 	revision int64                  // of its upstream list
 	work     map[string]capacity.Work
-	trials   []rollout.Word
-	reach    pool.Reach
+	trials   []rollout.Update
+	reach    pool.Reachability
 	relaying relaying
 }
 
@@ -184,11 +184,11 @@
 
 // hallReach is what the other nodes of this hall have told of whom they couldn't reach. The
 // node's lock is held.
-func (n *Node) hallReach(now time.Time) pool.Reach {
-	var sum pool.Reach
+func (n *Node) hallReach(now time.Time) pool.Reachability {
+	var sum pool.Reachability
 	for _, p := range n.peers.peers {
 		if p.hall == n.s.Hall {
-			sum = sum.Plus(p.reach, now.Sub(p.heard))
+			sum = sum.Merge(p.reach, now.Sub(p.heard))
 		}
 	}
 	return sum
@@ -211,7 +211,7 @@
 		return
 	}
 	n.shared = now
-	n.quotas.Round(now, every, lag)
+	n.quotas.StartRound(now, every, lag)
 }
 
 // tell swaps reports with one node.
@@ -241,13 +241,13 @@
 func (n *Node) report(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
-		Node: n.s.Node, Lifetime: n.o.Lifetime, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
+		Node: n.s.Node, Lifetime: n.o.Incarnation, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.LastChange(),
 		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.s.Hall, Cores: n.s.Cores,
 	}
 	if h := n.catalog.Load(); h != nil {
 		r.CatalogVersion = h.catalog.Version()
 	}
-	r.Reach = message.ReachToWire(n.pools.Reach())
+	r.Reach = message.ReachToWire(n.pools.Reachability())
 	r.Suspicions = n.suspicions()
 	r.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacedToWire(placed)
@@ -293,7 +293,7 @@
 	for _, v := range r.Engines {
 		engines[v.Service] = capacity.Engine{Reading: v.Reading, First: v.First, Token: v.Token, Samples: int(v.Samples)}
 	}
-	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
+	n.pools.ApplyReport(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
 	n.noteChange(r.Node, r.ListChange)
 	n.catchUp(ctx, r)
 }
@@ -318,7 +318,7 @@
 	for _, v := range r.Work {
 		p.work[v.Service] = capacity.Work{Prefill: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
-	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
+	n.quotas.ApplyUpdate(now, quota.Update{Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
 	n.usage.Merge(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
--- a/internal/measure/limits_test.go
+++ b/internal/measure/limits_test.go
@@ -276,7 +276,7 @@
 								good++
 								break
 							}
-							a := retry.Attempt{Repeatable: true, MayHaveRun: true, Sent: n, Most: 4, Left: time.Minute}
+							a := retry.Attempt{Repeatable: true, MayHaveRun: true, Sent: n, MaxSent: 4, TimeLeft: time.Minute}
 							if d, _ := retry.Decide(a, func() bool { return v.Take(now) }); d != retry.VerdictRetry {
 								break
 							}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -262,7 +262,7 @@
 		return
 	}
 	missing := p.observe(id, r.Msg.Facts)
-	p.n.dispatcher.Hear(r.Msg.Suspicions)
+	p.n.dispatcher.ApplySuspicions(r.Msg.Suspicions)
 	p.mu.Lock()
 	v.sent, v.have, v.up, v.heard = position, r.Msg.Position, r.Msg.PlatformUp, p.n.clock.Now()
 	if missing {
@@ -313,7 +313,7 @@
 // answer is the other side of an exchange.
 func (p *peers) answer(q *wire.ExchangeRequest) *wire.ExchangeResponse {
 	missing := p.observe(q.From, q.Facts)
-	p.n.dispatcher.Hear(q.Suspicions)
+	p.n.dispatcher.ApplySuspicions(q.Suspicions)
 	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, OtherHall: q.Hall != p.n.o.Hall}, factsPerMessage)
 	f, ok := p.n.table.Get(q.From)
 	if ok {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -50,7 +50,7 @@
 	if r.Job() {
 		c.Deadline = n.clock.Now().Add(jobDeadline)
 	}
-	c.Moved = r.Moved
+	c.TakenOver = r.Moved
 	n.dispatcher.Chat(ctx, c)
 	ended()
 	if r.Moved() && r.Record().Read(0).Outcome == stream.OutcomeOpen {
--- a/internal/pool/work_test.go
+++ b/internal/pool/work_test.go
@@ -30,7 +30,7 @@
 	}
 	try(1, ResultGood)
 	one := reading()
-	for _, r := range []Result{ResultUnreachable, ResultRefused, ResultGone} {
+	for _, r := range []Result{ResultUnreachable, ResultRejected, ResultMisplaced} {
 		try(2, r)
 		reading()
 	}
