--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -12,32 +12,32 @@
 // by one; each is written once and never changed.
 type Snapshot struct {
 	Revision  uint64     `json:"revision"`
-	Change    string     `json:"change"` // names the writer's intent
+	ChangeID    string     `json:"change"` // names the writer's intent
 	Author    string     `json:"author"`
 	Note      string     `json:"note"`
-	Applied   time.Time  `json:"applied"`
+	AppliedAt   time.Time  `json:"applied"`
 	Documents []Document `json:"documents"`
 }
 
 // ErrStale says that a snapshot is not newer than the one in force.
 var ErrStale = errs.NewType("stale").New("not newer than the revision in force")
 
-// Rendered is one workspace with its services, ready for use.
-type Rendered struct {
+// RenderedWorkspace is one workspace with its services, ready for use.
+type RenderedWorkspace struct {
 	name     string
 	services map[string]*Service
 	chat     []*Service
 }
 
 // Name returns the workspace's name.
-func (r *Rendered) Name() string { return r.name }
+func (r *RenderedWorkspace) Name() string { return r.name }
 
 // Service returns the service of that name, or nil.
-func (r *Rendered) Service(name string) *Service { return r.services[name] }
+func (r *RenderedWorkspace) Service(name string) *Service { return r.services[name] }
 
-// Chat returns the chat service for a model: the service of that name, or the
+// ChatService returns the chat service for a model: the service of that name, or the
 // only one there is when the model names none.
-func (r *Rendered) Chat(model string) *Service {
+func (r *RenderedWorkspace) ChatService(model string) *Service {
 	if s := r.services[model]; s != nil && s.Protocol == ProtocolChat {
 		return s
 	}
@@ -54,8 +54,8 @@
 type View struct {
 	mu       sync.RWMutex
 	snapshot Snapshot
-	byKey    map[string]*Rendered
-	byName   map[string]*Rendered
+	byKey    map[string]*RenderedWorkspace
+	byName   map[string]*RenderedWorkspace
 	changed  chan struct{}
 }
 
@@ -83,23 +83,23 @@
 	return v.changed
 }
 
-// Workspace returns the workspace that an API key belongs to, or nil.
-func (v *View) Workspace(apiKey string) *Rendered {
+// WorkspaceByKey returns the workspace that an API key belongs to, or nil.
+func (v *View) WorkspaceByKey(apiKey string) *RenderedWorkspace {
 	h := HashKey(apiKey)
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byKey[h]
 }
 
-// Named returns the workspace of that name, or nil.
-func (v *View) Named(name string) *Rendered {
+// WorkspaceByName returns the workspace of that name, or nil.
+func (v *View) WorkspaceByName(name string) *RenderedWorkspace {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byName[name]
 }
 
-// Pools lists the pools that any service draws on, with the class of each.
-func (v *View) Pools() map[string]Protocol {
+// PoolProtocols lists the pools that any service draws on, with the class of each.
+func (v *View) PoolProtocols() map[string]Protocol {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	r := make(map[string]Protocol)
@@ -117,9 +117,9 @@
 	return hex.EncodeToString(h[:])
 }
 
-// Accept puts a snapshot in force if it is newer than the one that is, and
+// Apply puts a snapshot in force if it is newer than the one that is, and
 // returns ErrStale otherwise.
-func (v *View) Accept(s Snapshot) error {
+func (v *View) Apply(s Snapshot) error {
 	byKey, byName, err := renderAll(s)
 	if err != nil {
 		return err
@@ -135,12 +135,12 @@
 	return nil
 }
 
-// Stale tells whether an error of Accept only says that nothing was newer.
-func Stale(err error) bool { return errors.Is(err, ErrStale) }
+// IsStale tells whether an error of Accept only says that nothing was newer.
+func IsStale(err error) bool { return errors.Is(err, ErrStale) }
 
-func renderAll(s Snapshot) (byKey, byName map[string]*Rendered, err error) {
+func renderAll(s Snapshot) (byKey, byName map[string]*RenderedWorkspace, err error) {
 	docs := index(s.Documents)
-	byKey, byName = make(map[string]*Rendered), make(map[string]*Rendered)
+	byKey, byName = make(map[string]*RenderedWorkspace), make(map[string]*RenderedWorkspace)
 	for _, d := range s.Documents {
 		if d.Kind != KindWorkspace {
 			continue
@@ -163,8 +163,8 @@
 	return byKey, byName, nil
 }
 
-func newRendered(name string, services []Service) *Rendered {
-	r := &Rendered{name: name, services: make(map[string]*Service, len(services))}
+func newRendered(name string, services []Service) *RenderedWorkspace {
+	r := &RenderedWorkspace{name: name, services: make(map[string]*Service, len(services))}
 	for i := range services {
 		s := &services[i]
 		r.services[s.Name] = s
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -218,7 +218,7 @@
 		p.landed(t.fact.ID, err, ctx.Err() == nil)
 		return nil, err
 	}
-	if c.Service.Refused(s.StatusCode) {
+	if c.Service.IsRejection(s.StatusCode) {
 		_ = s.Body.Close()
 		err := upstream.Refused(s, "")
 		p.landed(t.fact.ID, err, false)
--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -31,7 +31,7 @@
 }
 
 type chatRequest struct {
-	workspace *config.Rendered
+	workspace *config.RenderedWorkspace
 	service   *config.Service
 	raw       []byte
 	chat      *ParsedChat
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, badRequest("%v", err)
 	}
-	v := w.Chat(p.Model)
+	v := w.ChatService(p.Model)
 	if v == nil {
 		return nil, badRequest("model %q: this workspace has no chat service of that name", p.Model)
 	}
--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -32,7 +32,7 @@
 	}
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/s/"+r.PathValue("service"))
 	c := &dispatch.Call{
-		ID: s.newID(), Workspace: w.Name(), Service: v, Rule: v.Call(r.Method, path), Method: r.Method, Path: path,
+		ID: s.newID(), Workspace: w.Name(), Service: v, Rule: v.MatchCall(r.Method, path), Method: r.Method, Path: path,
 		Header: r.Header, Body: b, Deadline: s.o.Clock.Now().Add(time.Duration(v.Timeout)), Caller: caller(r),
 	}
 	if r.URL.RawQuery != "" {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -408,7 +408,7 @@
 
 // SnapshotFromWire reads a configuration from its form between processes.
 func SnapshotFromWire(w *wire.Snapshot) config.Snapshot {
-	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, Applied: time.UnixMilli(w.AppliedUnixMs)}
+	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, AppliedAt: time.UnixMilli(w.AppliedUnixMs)}
 	for _, d := range w.Documents {
 		s.Documents = append(s.Documents, config.Document{Name: d.Name, Kind: config.Kind(d.Kind), Body: string(d.Body)})
 	}
@@ -417,7 +417,7 @@
 
 // SnapshotToWire is the inverse of SnapshotFromWire.
 func SnapshotToWire(s *config.Snapshot) *wire.Snapshot {
-	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.Applied.UnixMilli()}
+	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.AppliedAt.UnixMilli()}
 	for _, d := range s.Documents {
 		w.Documents = append(w.Documents, &wire.Document{Name: d.Name, Kind: string(d.Kind), Body: []byte(d.Body)})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,13 +188,13 @@
 
 // Accept puts a snapshot in force here at once, if it is newer.
 func (n *Node) Accept(s config.Snapshot, from string) {
-	err := n.view.Accept(s)
+	err := n.view.Apply(s)
 	switch {
 	case err == nil:
 		n.log.Add("config_in_force", "", fmt.Sprintf("revision %d by %s, from %s", s.Revision, s.Author, from))
 		n.observeSelf()
 		n.peers.kick() // the others hear of it now, and pull it
-	case !config.Stale(err):
+	case !config.IsStale(err):
 		n.log.Add("config_refused", "", err.Error())
 	}
 }
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -197,7 +197,7 @@
 // askLoads asks the upstreams that this node reports for. Only model engines have a
 // load to report; a plain service must get no call that a caller didn't make.
 func (n *Node) askLoads(ctx context.Context) {
-	pools := n.view.Pools()
+	pools := n.view.PoolProtocols()
 	list := n.table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Status == member.StatusLive && f.Hall == n.o.Hall &&
 			pools[f.Service] == config.ProtocolChat
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return
 	}
-	for pool, p := range s.n.view.Pools() {
+	for pool, p := range s.n.view.PoolProtocols() {
 		if p == config.ProtocolChat {
 			s.pool(x, pool, offers)
 		}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -36,7 +36,7 @@
 // which may be long before its answer is journalled.
 func (n *Node) run(ctx context.Context, r *request.Request, ended func()) {
 	defer ended()
-	w := n.view.Named(r.Workspace())
+	w := n.view.WorkspaceByName(r.Workspace())
 	p, err := ingress.ParseChat(r.Body())
 	if w == nil || w.Service(r.Service()) == nil || err != nil {
 		// Its workspace was deleted after it was accepted: there is nothing to run it by.
