--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -131,7 +131,7 @@
 		return "", p.nobody(c.Record.ID())
 	}
 	l.fire("route")
-	number, offset := c.Record.Begin()
+	number, offset := c.Record.StartAttempt()
 	x, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	m := p.track(c, t.fact.ID, cancel)
--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -190,7 +190,7 @@
 }
 
 func failureOf(id string, v *stream.View) *Failure {
-	f := &Failure{Status: http.StatusBadGateway, Outcome: v.Outcome, Message: v.Failure, RetryAfter: v.After, ID: id}
+	f := &Failure{Status: http.StatusBadGateway, Outcome: v.Outcome, Message: v.Failure, RetryAfter: v.RetryAfter, ID: id}
 	if v.Outcome == stream.OutcomeNotRun {
 		f.Status = http.StatusServiceUnavailable
 	}
@@ -200,7 +200,7 @@
 // whole waits for the end and answers in one piece.
 func (s *Server) whole(r *request.Request) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
-		defer r.Record().Join(s.o.Clock.Now)()
+		defer r.Record().AddReader(s.o.Clock.Now)()
 		n := 0
 		var v stream.View
 		for v.Outcome == stream.OutcomeOpen {
@@ -242,7 +242,7 @@
 // with the first token, so that a request that is refused gets a status of its own.
 func (s *Server) streamFrom(r *request.Request, from int) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
-		defer r.Record().Join(s.o.Clock.Now)()
+		defer r.Record().AddReader(s.o.Clock.Now)()
 		v, err := r.Record().Wait(ctx, from)
 		if err != nil {
 			return nil
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -119,7 +119,7 @@
 	if v == nil {
 		return connect.NewError(connect.CodeNotFound, errNoRequest)
 	}
-	defer v.Record().Join(s.n.clock.Now)()
+	defer v.Record().AddReader(s.n.clock.Now)()
 	next := int(r.Msg.Offset)
 	for {
 		w, err := v.Record().Wait(ctx, next)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -269,7 +269,7 @@
 }
 
 func (n *Node) followOnce(ctx context.Context, r *request.Request, f member.Fact) {
-	attempt, offset := r.Record().Begin()
+	attempt, offset := r.Record().StartAttempt()
 	s, err := n.peers.get(f.ID, f.Address).client.Read(ctx, connect.NewRequest(&wire.ReadRequest{Id: r.ID(), Offset: int32(offset), Workspace: r.Workspace()}))
 	if err != nil {
 		return
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -234,7 +234,7 @@
 	n := 0
 	for id, r := range g.held {
 		v := r.record.Read(0)
-		if v.Outcome != stream.OutcomeOpen && v.Finished.Before(before) {
+		if v.Outcome != stream.OutcomeOpen && v.FinishedAt.Before(before) {
 			delete(g.held, id)
 			n++
 		}
--- a/internal/stream/record.go
+++ b/internal/stream/record.go
@@ -91,9 +91,9 @@
 // ID returns the request's id.
 func (r *Record) ID() string { return r.id }
 
-// Begin starts a new attempt and returns its number and the offset that it has to
+// StartAttempt starts a new attempt and returns its number and the offset that it has to
 // go on from.
-func (r *Record) Begin() (attempt, offset int) {
+func (r *Record) StartAttempt() (attempt, offset int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempt++
@@ -150,8 +150,8 @@
 	Pieces   []string // from the offset asked for
 	Outcome  Outcome
 	Failure  string
-	After    time.Duration
-	Finished time.Time
+	RetryAfter    time.Duration
+	FinishedAt time.Time
 }
 
 // Read returns what there is from an offset on, without waiting.
@@ -162,7 +162,7 @@
 }
 
 func (r *Record) viewLocked(from int) View {
-	v := View{Outcome: r.outcome, Failure: r.failure, After: r.after, Finished: r.finished}
+	v := View{Outcome: r.outcome, Failure: r.failure, RetryAfter: r.after, FinishedAt: r.finished}
 	if from < len(r.pieces) {
 		v.Pieces = append(v.Pieces, r.pieces[from:]...)
 	}
@@ -211,8 +211,8 @@
 // Pieces returns the tokens so far.
 func (r *Record) Pieces() []string { return r.Read(0).Pieces }
 
-// Join counts a reader in, and returns the function that counts it out.
-func (r *Record) Join(now func() time.Time) func() {
+// AddReader counts a reader in, and returns the function that counts it out.
+func (r *Record) AddReader(now func() time.Time) func() {
 	r.mu.Lock()
 	r.readers++
 	r.mu.Unlock()
@@ -224,8 +224,8 @@
 	}
 }
 
-// Alone returns since when nobody reads, and whether that is so.
-func (r *Record) Alone() (time.Time, bool) {
+// UnreadSince returns since when nobody reads, and whether that is so.
+func (r *Record) UnreadSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.left, r.readers == 0 && !r.left.IsZero()
