--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -150,7 +150,7 @@
 	c := in.(*chatRequest)
 	r := request.New(request.Spec{
 		ID: s.newID(), Workspace: c.workspace.Name(), Service: c.service.Name, Body: c.raw, Job: c.job,
-		Accepted: s.o.Clock.Now(), Owner: s.o.Node,
+		AcceptedAt: s.o.Clock.Now(), Owner: s.o.Node,
 	})
 	if c.job {
 		return s.acceptJob(ctx, r)
@@ -223,7 +223,7 @@
 func completion(r *request.Request) map[string]any {
 	u, n := r.Record().Usage(), r.Record().Len()
 	return map[string]any{
-		"id": "chatcmpl-" + r.ID(), "object": "chat.completion", "created": r.Accepted().Unix(), "model": r.Service(),
+		"id": "chatcmpl-" + r.ID(), "object": "chat.completion", "created": r.AcceptedAt().Unix(), "model": r.Service(),
 		"choices": []any{map[string]any{
 			"index": 0, "finish_reason": "stop",
 			"message": map[string]string{"role": "assistant", "content": r.Record().Text()},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -381,7 +381,7 @@
 func (n *Node) stopAbandoned(now time.Time) {
 	for _, r := range n.registry.List(func(r *request.Request) bool { return !r.Job() }) {
 		if since, alone := r.Record().UnreadSince(); alone && now.Sub(since) > callerGrace {
-			r.Abandon()
+			r.Cancel()
 		}
 	}
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -25,7 +25,7 @@
 // start runs a request in a goroutine of its own.
 func (n *Node) start(r *request.Request) {
 	ctx, cancel := context.WithCancel(n.ctx)
-	ended := r.Running(cancel)
+	ended := r.MarkRunning(cancel)
 	go func() {
 		defer cancel()
 		n.run(ctx, r, ended)
@@ -73,7 +73,7 @@
 func (n *Node) journalAnswer(r *request.Request) {
 	for n.ctx.Err() == nil {
 		err := n.journal.Finish(n.ctx, r.Spec(), func(owner string) bool {
-			return owner == n.id || owner == r.From() || n.ownerGone(owner)
+			return owner == n.id || owner == r.PreviousOwner() || n.ownerGone(owner)
 		})
 		if err == nil {
 			n.log.Add("job_finished", r.ID(), "journalled")
@@ -404,7 +404,7 @@
 // adopt runs a request that another node had, from where it was.
 func (n *Node) adopt(s request.Spec) {
 	if s.Owner != n.id {
-		s.From, s.Owner = s.Owner, n.id
+		s.PreviousOwner, s.Owner = s.Owner, n.id
 	}
 	if old := n.registry.Get(s.ID); old != nil {
 		// A copy held here may be further than what was written down.
