--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -250,7 +250,7 @@
 	r.Reach = message.ReachToWire(n.pools.Reach())
 	r.Suspicions = n.suspicions()
 	r.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
-	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacedToWire(placed)
+	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacementsToWire(placed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers.sequence++
@@ -293,7 +293,7 @@
 	for _, v := range r.Engines {
 		engines[v.Service] = capacity.Engine{Reading: v.Reading, First: v.First, Token: v.Token, Samples: int(v.Samples)}
 	}
-	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
+	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacementsFromWire(r.Placed), engines)
 	n.noteChange(r.Node, r.ListChange)
 	n.catchUp(ctx, r)
 }
@@ -318,7 +318,7 @@
 	for _, v := range r.Work {
 		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
-	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
+	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.FromMillis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
 	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	n.book.Gather(now, message.RelayReport(r))
+	n.book.Gather(now, message.ReportFromWire(r))
 	_, version := n.view.Known(n.s.Node)
 	d := n.book.Digest(now, n.s.Node, version)
 	n.home = n.s.Node
@@ -300,7 +300,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.book.Gather(now, message.RelayReport(v))
+	n.book.Gather(now, message.ReportFromWire(v))
 	d := n.book.Digest(now, v.Node, n.book.Version(r.Msg.Lifetime, r.Msg.Version))
 	a := message.DigestToWire(d)
 	a.Suspicions = n.suspicions()
--- a/internal/job/journal_test.go
+++ b/internal/job/journal_test.go
@@ -70,7 +70,7 @@
 	assert.NoError(t, j.Accept(ctx, s), "read back")
 	l.mode = "down"
 	s.ID = "b"
-	assert.ErrorIs(t, j.Accept(ctx, s), ErrUnheld)
+	assert.ErrorIs(t, j.Accept(ctx, s), ErrNotWritten)
 	l.mode = "late"
 	s.ID = "c"
 	assert.ErrorIs(t, j.Accept(ctx, s), ErrUncertain, "absent now says nothing of later")
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -71,7 +71,7 @@
 		}
 		var r wire.NodeReport
 		if proto.Unmarshal(b, &r) == nil {
-			v := RelayReport(&r)
+			v := ReportFromWire(&r)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
 			book.Gather(now, v)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -21,8 +21,8 @@
 // longest bounds durations and ages, so that none overflows: no process lives for a hundred years.
 const longest = 100 * 365 * 24 * time.Hour
 
-// Millis returns a number of milliseconds as a duration. One that can't be is the nearest that can.
-func Millis(n int64) time.Duration {
+// FromMillis returns a number of milliseconds as a duration. One that can't be is the nearest that can.
+func FromMillis(n int64) time.Duration {
 	return time.Duration(min(max(0, n), longest.Milliseconds())) * time.Millisecond
 }
 
@@ -46,8 +46,8 @@
 	return r
 }
 
-// PlacedToWire returns the message of where prompt prefixes were read.
-func PlacedToWire(l []pool.Placement) []*wire.Placed {
+// PlacementsToWire returns the message of where prompt prefixes were read.
+func PlacementsToWire(l []pool.Placement) []*wire.Placed {
 	r := make([]*wire.Placed, len(l))
 	for i, v := range l {
 		r[i] = &wire.Placed{Prefix: v.Prefix, Upstream: v.Upstream}
@@ -55,8 +55,8 @@
 	return r
 }
 
-// PlacedFromWire is the inverse of PlacedToWire.
-func PlacedFromWire(l []*wire.Placed) []pool.Placement {
+// PlacementsFromWire is the inverse of PlacedToWire.
+func PlacementsFromWire(l []*wire.Placed) []pool.Placement {
 	r := make([]pool.Placement, len(l))
 	for i, v := range l {
 		r[i] = pool.Placement{Prefix: v.Prefix, Upstream: v.Upstream}
@@ -105,11 +105,11 @@
 	return w
 }
 
-// RelayReport returns what a relay takes from a node's report.
-func RelayReport(r *wire.NodeReport) relay.Report {
+// ReportFromWire returns what a relay takes from a node's report.
+func ReportFromWire(r *wire.NodeReport) relay.Report {
 	return relay.Report{
-		Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: Millis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
-		Placed: PlacedFromWire(r.Placed), Spent: SpentFromWire(r.Spent), Started: StartedFromWire(r.Started),
+		Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: FromMillis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
+		Placed: PlacementsFromWire(r.Placed), Spent: SpentFromWire(r.Spent), Started: StartedFromWire(r.Started),
 		Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
 	}
 }
@@ -130,10 +130,10 @@
 func ReachFromWire(m *wire.Reach) pool.Reach {
 	r := pool.Reach{Answered: make(map[string]time.Duration)}
 	for _, v := range m.GetUnreached() {
-		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: Millis(v.AgeMs), Gone: v.Gone})
+		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: FromMillis(v.AgeMs), Gone: v.Gone})
 	}
 	for _, v := range m.GetAnswered() {
-		r.Answered[v.Hall] = Millis(v.AgeMs)
+		r.Answered[v.Hall] = FromMillis(v.AgeMs)
 	}
 	return r
 }
@@ -184,7 +184,7 @@
 
 // ShareFromWire is the inverse of ShareToWire.
 func ShareFromWire(s *wire.Share) pool.Share {
-	return pool.Share{Age: Millis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
+	return pool.Share{Age: FromMillis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
 }
 
 // ChangesToWire returns the message of what a relay tells of its nodes.
@@ -204,7 +204,7 @@
 	r := make([]relay.Change, len(l))
 	for i, c := range l {
 		r[i] = relay.Change{
-			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, Uptime: Millis(c.UptimeMs), Age: Millis(c.AgeMs),
+			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, Uptime: FromMillis(c.UptimeMs), Age: FromMillis(c.AgeMs),
 			Relay: c.Relay, Silent: c.Silent, Spent: SpentFromWire(c.Spent), Started: StartedFromWire(c.Started),
 		}
 	}
@@ -214,7 +214,7 @@
 // GroupToWire returns a relay's message to another one.
 func GroupToWire(g relay.Group) *wire.Group {
 	return &wire.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacedToWire(g.Placed),
+		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacementsToWire(g.Placed),
 		Trials: TrialsToWire(g.Trials),
 	}
 }
@@ -222,14 +222,14 @@
 // GroupFromWire is the inverse of GroupToWire.
 func GroupFromWire(g *wire.Group) relay.Group {
 	return relay.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacedFromWire(g.Placed),
+		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacementsFromWire(g.Placed),
 		Trials: TrialsFromWire(g.Trials),
 	}
 }
 
 // DigestToWire returns a relay's message to a node that reports to it.
 func DigestToWire(d relay.Digest) *wire.GatherResponse {
-	r := &wire.GatherResponse{Lifetime: d.Lifetime, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacedToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reach)}
+	r := &wire.GatherResponse{Lifetime: d.Lifetime, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacementsToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reach)}
 	for _, s := range d.Shares {
 		r.Shares = append(r.Shares, ShareToWire(s))
 	}
@@ -242,14 +242,14 @@
 // DigestFromWire is the inverse of DigestToWire.
 func DigestFromWire(r *wire.GatherResponse) relay.Digest {
 	d := relay.Digest{
-		Lifetime: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacedFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
+		Lifetime: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacementsFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
 		Relays: make(map[string]time.Duration, len(r.Relays)),
 	}
 	for _, s := range r.Shares {
 		d.Shares = append(d.Shares, ShareFromWire(s))
 	}
 	for _, v := range r.Relays {
-		d.Relays[v.Relay] = Millis(v.AgeMs)
+		d.Relays[v.Relay] = FromMillis(v.AgeMs)
 	}
 	return d
 }
@@ -276,7 +276,7 @@
 func ItemFromWire(v *wire.ListItem) pool.Item {
 	return pool.Item{Revision: v.Revision, Entry: pool.Entry{
 		ID: v.Id, Born: v.Born, Service: v.Service, Address: v.Address, Hall: v.Hall, Version: v.Version, Slots: int(max(0, v.Slots)), Leaving: v.Leaving,
-		WarmUp: Millis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: Millis(v.LeavesInMs), Declared: v.Declared, Begun: v.Begun,
+		WarmUp: FromMillis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: FromMillis(v.LeavesInMs), Declared: v.Declared, Begun: v.Begun,
 	}}
 }
 
@@ -293,7 +293,7 @@
 func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
 	words := make([]limit.Word, len(list))
 	for i, v := range list {
-		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-Millis(v.AgeMs))}
+		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-FromMillis(v.AgeMs))}
 	}
 	return words
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -17,7 +17,7 @@
 
 var (
 	names = rapid.StringMatching("[a-z0-9-]{1,6}")
-	ages  = rapid.Custom(func(t *rapid.T) time.Duration { return Millis(rapid.Int64Range(0, 1<<40).Draw(t, "ms")) })
+	ages  = rapid.Custom(func(t *rapid.T) time.Duration { return FromMillis(rapid.Int64Range(0, 1<<40).Draw(t, "ms")) })
 	loads = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Load {
 		return pool.Load{
 			Upstream: names.Draw(t, "upstream"), Running: rapid.IntRange(0, 1000).Draw(t, "running"),
@@ -118,7 +118,7 @@
 		})
 	})
 	t.Run("a message without anything is that of a node that has nothing to tell", func(t *testing.T) {
-		assert.Empty(t, RelayReport(&wire.NodeReport{}).Loads)
+		assert.Empty(t, ReportFromWire(&wire.NodeReport{}).Loads)
 		assert.Empty(t, DigestFromWire(&wire.GatherResponse{}).Changes)
 		assert.Zero(t, GroupFromWire(&wire.Group{}).Share.Age)
 	})
