--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,14 +26,14 @@
 		require.NoError(t, err)
 		docs, err := Parse(f, b)
 		require.NoError(t, err)
-		assert.NoError(t, checkAll(index(docs)))
+		assert.NoError(t, checkAll(documentsByKey(docs)))
 	}
 }
 
 const head = "kind: template\nname: t\nparameters:\n  target: {type: duration, default: 1s}\n  n: {type: number, min: 0}\nservices:\n"
 
-// TestMistakesAreNamed keeps the whole text of every refusal.
-func TestMistakesAreNamed(t *testing.T) {
+// TestErrorTexts compares the complete text of each validation error with a golden file.
+func TestErrorTexts(t *testing.T) {
 	cases := []struct{ name, template, workspace string }{
 		{"unknown field", "  - {name: a, protocol: chat, pool: p, colour: red}\n", "n: 1"},
 		{"bare number for a duration", "  - {name: a, protocol: chat, pool: p, timeout: 5}\n", "n: 1"},
@@ -56,7 +56,7 @@
 		text := head + c.template + "---\nkind: workspace\nname: w\ntemplate: t\nparameters: {" + c.workspace + "}\n"
 		docs, err := Parse("shops.yaml", []byte(text))
 		if err == nil {
-			err = checkAll(index(docs))
+			err = checkAll(documentsByKey(docs))
 		}
 		require.ErrorIs(t, err, ErrInvalid, c.name)
 		fmt.Fprintf(&out, "%s\n\t%v\n", c.name, err)
@@ -64,7 +64,7 @@
 	goldie.New(t).Assert(t, "mistakes", []byte(out.String()))
 }
 
-func TestViewNeverGoesBack(t *testing.T) {
+func TestViewNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView()
 		var highest uint64
@@ -81,44 +81,45 @@
 	return Document{Name: name, Kind: KindTemplate, Body: "kind: template\nname: " + name + "\nservices:\n  - {name: a, protocol: chat, pool: p}\n"}
 }
 
-// patient is how long a call may take on a loaded machine: losses are the test's to bring about.
-const patient = 30 * time.Second
+// callTimeout is long enough for calls on a loaded machine not to time out: only the test's
+// own lost responses may make a write uncertain.
+const callTimeout = 30 * time.Second
 
-// TestStoreUnderRaces: operators race, answers are lost after or before the effect,
-// and each concludes from its own answer. Every change told as accepted is in the
-// history exactly once, none told as a conflict is, and revisions have no gaps.
-func TestStoreUnderRaces(t *testing.T) {
+// TestConcurrentChanges applies changes that race with others and whose requests or
+// responses are lost. Each change that was reported as applied must be in the history
+// exactly once, a change reported as a conflict must not be, and revisions have no gaps.
+func TestConcurrentChanges(t *testing.T) {
 	s := httptest.NewServer(standin.NewPlatform(timer.Real()).Handler())
 	t.Cleanup(s.Close)
-	kv := store.NewGateway(s.URL, patient, timer.Real()).KV()
+	kv := store.NewGateway(s.URL, callTimeout, timer.Real()).KV()
 	ctx := context.Background()
 	rapid.Check(t, func(t *rapid.T) {
 		st := NewStore(kv)
 		h, err := st.Head(ctx)
 		require.NoError(t, err)
-		told := make(map[string]error)
-		first, base, rivals := h.Revision, h.Revision, 0
+		results := make(map[string]error)
+		first, base, concurrent := h.Revision, h.Revision, 0
 		for i := 0; i < 6; i++ {
-			lossy := kv
-			mode := rapid.IntRange(0, 3).Draw(t, "answer")
-			lossy.Txn = func(ctx context.Context, x store.Txn) (store.TxnResult, error) {
+			faulty := kv
+			mode := rapid.IntRange(0, 3).Draw(t, "mode")
+			faulty.Txn = func(ctx context.Context, x store.Txn) (store.TxnResult, error) {
 				switch mode {
 				case 1:
-					return store.TxnResult{}, store.ErrUnknown // lost on the way there
-				case 3: // somebody else is faster, between the look at the head and the write
-					rivals++
-					id := fmt.Sprintf("rival%d-%d", first, rivals)
+					return store.TxnResult{}, store.ErrUnknown // the request is lost
+				case 3: // another change is written between the read of the head and the write
+					concurrent++
+					id := fmt.Sprintf("concurrent%d-%d", first, concurrent)
 					h, err := st.Head(ctx)
 					require.NoError(t, err)
 					v, err := st.Apply(ctx, Change{ID: id, Base: h.Revision, Author: id, Documents: []Document{document("t")}})
-					told[id] = err
+					results[id] = err
 					if err == nil {
 						base = v.Revision
 					}
 				}
 				r, err := kv.Txn(ctx, x)
 				if mode == 2 {
-					return store.TxnResult{}, store.ErrUnknown // lost on the way back
+					return store.TxnResult{}, store.ErrUnknown // the response is lost
 				}
 				return r, err
 			}
@@ -127,30 +128,30 @@
 			if rapid.Bool().Draw(t, "stale") && base > 0 {
 				b--
 			}
-			v, err := NewStore(lossy).Apply(ctx, Change{ID: id, Base: b, Author: id, Documents: []Document{document("t")}})
-			told[id] = err
+			v, err := NewStore(faulty).Apply(ctx, Change{ID: id, Base: b, Author: id, Documents: []Document{document("t")}})
+			results[id] = err
 			if err == nil {
 				base = v.Revision
 			}
 		}
 		list, err := st.History(ctx, 100)
 		require.NoError(t, err)
-		times := make(map[string]int)
+		occurrences := make(map[string]int)
 		for i, v := range list {
-			times[v.ChangeID]++
+			occurrences[v.ChangeID]++
 			if i > 0 {
 				assert.Equal(t, list[i-1].Revision-1, v.Revision, "no gaps")
 			}
 		}
-		for id, err := range told {
+		for id, err := range results {
 			switch {
 			case err == nil:
-				assert.Equal(t, 1, times[id], "told accepted")
+				assert.Equal(t, 1, occurrences[id], "reported as applied")
 			case errors.Is(err, ErrConflict):
-				assert.Zero(t, times[id], "told conflict")
+				assert.Zero(t, occurrences[id], "reported as conflict")
 			default:
 				assert.ErrorIs(t, err, ErrUncertain)
-				assert.LessOrEqual(t, times[id], 1)
+				assert.LessOrEqual(t, occurrences[id], 1)
 			}
 		}
 	})
@@ -168,7 +169,7 @@
 			}
 			return
 		}
-		err = checkAll(index(docs))
+		err = checkAll(documentsByKey(docs))
 		if err != nil && !errors.Is(err, ErrInvalid) {
 			t.Fatalf("not ErrInvalid: %v", err)
 		}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,11 +1,12 @@
-// Package config holds what operators write: templates, and workspaces that
-// fill them in. This file is the form of the documents; render.go turns a
-// workspace and its template into services; store.go keeps revisions in the
-// platform's key-value service; view.go is what a node has in force.
+// Package config implements the operators' configuration: templates, and workspaces
+// that give values to a template's parameters. This file defines the documents;
+// render.go renders a workspace and its template to services; store.go keeps revisions
+// in the platform's key-value service; view.go holds the configuration that a node has
+// in force.
 //
-// Documents are YAML, read strictly. A field that isn't known, a parameter that
-// is missing or of the wrong type, a duration without a unit: each is refused
-// with the file and the line, and nothing changes.
+// Documents are YAML and are decoded strictly. An unknown field, a parameter that is
+// missing or of the wrong type, or a duration without a unit rejects the change with
+// the file and line of the mistake, and the configuration in force stays.
 package config
 
 import (
@@ -24,11 +25,10 @@
 
 var errs = errorx.NewNamespace("config")
 
-// ErrInvalid says that a document was refused; its text names file, line and
-// reason.
+// ErrInvalid reports a rejected document; its text states file, line and reason.
 var ErrInvalid = errs.NewType("invalid").New("invalid document")
 
-// Kind is what a document is.
+// Kind is the type of a document.
 type Kind string
 
 // The kinds of document.
@@ -37,7 +37,7 @@
 	KindWorkspace Kind = "workspace"
 )
 
-// Protocol is how callers use a service.
+// Protocol is the protocol that callers of a service use.
 type Protocol string
 
 // The protocols of a service.
@@ -46,7 +46,7 @@
 	ProtocolPlain Protocol = "plain"
 )
 
-// Class is what a request may wait for.
+// Class is the latency class of a service's requests.
 type Class string
 
 // The latency classes.
@@ -55,19 +55,19 @@
 	ClassBatch Class = "batch"
 )
 
-// Outage is what a call that may not be repeated does while the platform is out.
+// Outage is how a non-repeatable call is handled while the platform is unavailable.
 type Outage string
 
-// The choices for an outage.
+// The ways to handle a non-repeatable call during an outage of the platform.
 const (
 	OutageRefuse  Outage = "refuse"
 	OutagePromise Outage = "promise"
 )
 
-// Duration is a time.Duration written with its unit, such as "700ms".
+// Duration is a time.Duration that is written with its unit, such as "700ms".
 type Duration time.Duration
 
-// UnmarshalYAML reads a duration and refuses a bare number.
+// UnmarshalYAML decodes a duration; a number without a unit is an error.
 func (d *Duration) UnmarshalYAML(n *yaml.Node) error {
 	v, err := time.ParseDuration(n.Value)
 	if err != nil || v < 0 {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// MarshalYAML writes a duration with its unit.
+// MarshalYAML encodes a duration with its unit.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
 // Parameter declares one parameter of a template.
@@ -88,16 +88,16 @@
 	Max     *float64 `yaml:"max"`
 }
 
-// Call declares a group of calls of a plain service.
+// Call declares the rules for a group of calls of a plain service.
 type Call struct {
 	Method      string   `yaml:"method"` // empty: any
-	Path        string   `yaml:"path"`   // a prefix below /s/{service}
+	Path        string   `yaml:"path"`   // prefix of the path below /s/{service}
 	Repeatable  *bool    `yaml:"repeatable"`
 	Outage      Outage   `yaml:"outage"`
 	KeyLifetime Duration `yaml:"key_lifetime"`
 }
 
-// Limits bounds what one workspace may ask of a service.
+// Limits bounds one workspace's use of a service.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requests_per_second"`
 	InFlight          int     `yaml:"in_flight"`
@@ -106,33 +106,33 @@
 	MaxTokens         int     `yaml:"max_tokens"`
 }
 
-// Weights say what a workspace cares for, beside delay: what one unit of money
-// and one recomputed token are worth, in milliseconds of delay.
+// Weights state how a workspace trades delay for cost: the milliseconds of delay that
+// one unit of money and one recomputed token are worth.
 type Weights struct {
 	Cost      float64 `yaml:"cost"`
 	Recompute float64 `yaml:"recompute"`
 }
 
-// Legacy sends a share of the callers to where they were served before.
+// Legacy sends a percentage of the callers to the system that served them before.
 type Legacy struct {
 	Address string  `yaml:"address"`
 	Percent float64 `yaml:"percent"`
 }
 
-// Service is one service of a workspace, rendered.
+// Service is one rendered service of a workspace.
 type Service struct {
-	Name          string   `yaml:"name"`
-	Protocol      Protocol `yaml:"protocol"`
-	Pool          string   `yaml:"pool"`
-	Class         Class    `yaml:"class"`
-	LatencyTarget Duration `yaml:"latency_target"`
-	Timeout       Duration `yaml:"timeout"`
-	Share         float64  `yaml:"share"` // weight in the fair queue
-	Calls         []Call   `yaml:"calls"`
-	RejectStatuses      []int    `yaml:"refusals"` // statuses by which the upstream says: not run
-	Limits        Limits   `yaml:"limits"`
-	Weights       Weights  `yaml:"weights"`
-	Legacy        Legacy   `yaml:"legacy"`
+	Name           string   `yaml:"name"`
+	Protocol       Protocol `yaml:"protocol"`
+	Pool           string   `yaml:"pool"`
+	Class          Class    `yaml:"class"`
+	LatencyTarget  Duration `yaml:"latency_target"`
+	Timeout        Duration `yaml:"timeout"`
+	Share          float64  `yaml:"share"` // weight in the fair queue
+	Calls          []Call   `yaml:"calls"`
+	RejectStatuses []int    `yaml:"refusals"` // status codes which state that the upstream did not run the call
+	Limits         Limits   `yaml:"limits"`
+	Weights        Weights  `yaml:"weights"`
+	Legacy         Legacy   `yaml:"legacy"`
 }
 
 // Template is a set of services with parameters.
@@ -143,7 +143,7 @@
 	Services   yaml.Node            `yaml:"services"`
 }
 
-// Workspace fills a template in.
+// Workspace gives values to the parameters of a template.
 type Workspace struct {
 	Kind       Kind              `yaml:"kind"`
 	Name       string            `yaml:"name"`
@@ -152,28 +152,28 @@
 	Parameters map[string]string `yaml:"parameters"`
 }
 
-// Document is one document as it was written.
+// Document is the source text of one document.
 type Document struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
 	Body string `json:"body"`
-	// Where it was written, for messages only: known to whoever applies it.
+	// The position in the source file, for error messages. Only set by Parse.
 	file string
-	line int // lines of the file before it
+	line int // number of lines that precede the document in the file
 }
 
-// located names the place of a mistake: in the file, if that is known, and in the
-// document otherwise.
-func (d *Document) located(err error) error {
+// withPosition adds the position of a mistake to an error: in the source file if that is
+// known, and in the document otherwise.
+func (d *Document) withPosition(err error) error {
 	if d.file != "" {
-		return located(d.file, d.line, err)
+		return withPosition(d.file, d.line, err)
 	}
-	return located(key(d.Kind, d.Name), 0, err)
+	return withPosition(documentKey(d.Kind, d.Name), 0, err)
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Parse splits a file into its documents and checks each by itself.
+// Parse splits a file into its documents and checks each of them separately.
 func Parse(file string, b []byte) ([]Document, error) {
 	var r []Document
 	line := 0
@@ -202,8 +202,8 @@
 		Kind Kind   `yaml:"kind"`
 		Name string `yaml:"name"`
 	}
-	if err := yaml.Unmarshal([]byte(unfilled(body)), &h); err != nil {
-		return nil, located(file, line-1, err)
+	if err := yaml.Unmarshal([]byte(stubParameters(body)), &h); err != nil {
+		return nil, withPosition(file, line-1, err)
 	}
 	if !namePattern.MatchString(h.Name) {
 		return nil, fault.Because(ErrInvalid, "%s:%d: name %q: use 1 to 63 of a-z, 0-9 and -", file, line+1, h.Name)
@@ -219,16 +219,16 @@
 		err = fmt.Errorf("line 1: kind %q: use template or workspace", h.Kind)
 	}
 	if err != nil {
-		return nil, located(file, line, err)
+		return nil, withPosition(file, line, err)
 	}
 	return d, nil
 }
 
 var linePattern = regexp.MustCompile(`line (\d+): `)
 
-// located rewrites "line N: reason" as "file:N: reason", with N counted in the
-// whole file.
-func located(file string, offset int, err error) error {
+// withPosition rewrites "line N: reason" as "file:N: reason", where N counts from the start
+// of the file.
+func withPosition(file string, offset int, err error) error {
 	s := strings.TrimPrefix(err.Error(), "yaml: ")
 	s = strings.TrimPrefix(s, "unmarshal errors:\n  ")
 	m := linePattern.FindStringSubmatchIndex(s)
@@ -240,19 +240,20 @@
 	return fault.Because(ErrInvalid, "%s:%d: %s", file, n+offset, s[m[1]:])
 }
 
-func strict(body string, out any) error {
+func decodeStrict(body string, out any) error {
 	d := yaml.NewDecoder(bytes.NewReader([]byte(body)))
 	d.KnownFields(true)
 	return d.Decode(out)
 }
 
-// unfilled puts a word in place of each parameter, so that a template can be read
-// as YAML before it is filled in: braces would end a flow mapping.
-func unfilled(body string) string { return placeholder.ReplaceAllString(body, "unfilled") }
+// stubParameters replaces each parameter reference with a fixed scalar, so that a template can
+// be parsed as YAML before its values are substituted: the braces of a reference would
+// end a flow mapping.
+func stubParameters(body string) string { return parameterRef.ReplaceAllString(body, "unfilled") }
 
 func (d *Document) template() (*Template, error) {
 	var t Template
-	if err := strict(unfilled(d.Body), &t); err != nil {
+	if err := decodeStrict(stubParameters(d.Body), &t); err != nil {
 		return nil, err
 	}
 	if t.Services.Kind != yaml.SequenceNode || len(t.Services.Content) == 0 {
@@ -269,7 +270,7 @@
 
 func (d *Document) workspace() (*Workspace, error) {
 	var w Workspace
-	if err := strict(d.Body, &w); err != nil {
+	if err := decodeStrict(d.Body, &w); err != nil {
 		return nil, err
 	}
 	if w.Template == "" {
--- a/internal/config/render.go
+++ b/internal/config/render.go
@@ -11,56 +11,57 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Rendering puts a workspace's parameters into the template's text, line by
-// line, and then reads the result strictly. Text was chosen over a walk of the
-// parsed tree because every error keeps the line the operator wrote: a value
-// can't hold a line break, so lines never move.
+// Rendering substitutes a workspace's parameters in the template's text, line by line,
+// and then decodes the result strictly. Values can't contain line breaks, so line
+// numbers don't change and every error refers to the line that the operator wrote.
+//
+// Alternatives considered: substitution in the parsed tree, which would lose these lines.
 
-var placeholder = regexp.MustCompile(`\$\{([a-z0-9_]+)\}`)
+var parameterRef = regexp.MustCompile(`\$\{([a-z0-9_]+)\}`)
 
-// The values of a service that declares none.
+// Defaults for fields that a service doesn't set.
 const (
-	defaultTimeout     = Duration(60 * time.Second)
-	defaultTarget      = Duration(time.Second)
-	defaultKeyLifetime = Duration(24 * time.Hour)
-	defaultBodyBytes   = 1 << 20
-	defaultInFlight    = 256
-	defaultQueue       = 256
-	defaultMaxTokens   = 4096
+	defaultTimeout       = Duration(60 * time.Second)
+	defaultLatencyTarget = Duration(time.Second)
+	defaultKeyLifetime   = Duration(24 * time.Hour)
+	defaultBodyBytes     = 1 << 20
+	defaultInFlight      = 256
+	defaultQueue         = 256
+	defaultMaxTokens     = 4096
 )
 
-// Render returns the services of a workspace.
+// Render returns the services of workspace w with template t.
 func Render(t, w *Document) ([]Service, error) {
 	template, err := t.template()
 	if err != nil {
-		return nil, t.located(err)
+		return nil, t.withPosition(err)
 	}
 	workspace, err := w.workspace()
 	if err != nil {
-		return nil, w.located(err)
+		return nil, w.withPosition(err)
 	}
-	values, err := parameters(template, workspace, parameterLines(w.Body))
+	values, err := resolveParameters(template, workspace, parameterLines(w.Body))
 	if err != nil {
-		return nil, w.located(err)
+		return nil, w.withPosition(err)
 	}
 	body, err := substitute(t.Body, values)
 	if err != nil {
-		return nil, t.located(err)
+		return nil, t.withPosition(err)
 	}
 	services, err := decodeServices(body)
 	if err != nil {
-		return nil, t.located(fmt.Errorf("%w (filled in for workspace %s)", err, w.Name))
+		return nil, t.withPosition(fmt.Errorf("%w (filled in for workspace %s)", err, w.Name))
 	}
 	return services, nil
 }
 
-// parameterLines returns the line of each parameter of a workspace, and under the
-// empty name that of the parameters as a whole.
+// parameterLines returns the line of each parameter of a workspace by name, and the line
+// of the parameters mapping under the empty name.
 func parameterLines(body string) map[string]int {
 	var w struct {
 		Parameters yaml.Node `yaml:"parameters"`
 	}
-	_ = yaml.Unmarshal([]byte(body), &w) // read strictly before
+	_ = yaml.Unmarshal([]byte(body), &w) // the strict decoding before has reported any error
 	r := map[string]int{"": max(w.Parameters.Line, 1)}
 	for i := 0; i+1 < len(w.Parameters.Content); i += 2 {
 		r[w.Parameters.Content[i].Value] = w.Parameters.Content[i].Line
@@ -68,7 +69,7 @@
 	return r
 }
 
-func parameters(t *Template, w *Workspace, lines map[string]int) (map[string]string, error) {
+func resolveParameters(t *Template, w *Workspace, lines map[string]int) (map[string]string, error) {
 	for n := range w.Parameters {
 		if _, ok := t.Parameters[n]; !ok {
 			return nil, fmt.Errorf("line %d: parameter %s: template %s has none of that name", lines[n], n, t.Name)
@@ -116,13 +117,13 @@
 func substitute(body string, values map[string]string) (string, error) {
 	lines := strings.Split(body, "\n")
 	for i, l := range lines {
-		for _, m := range placeholder.FindAllStringSubmatch(l, -1) {
+		for _, m := range parameterRef.FindAllStringSubmatch(l, -1) {
 			v, ok := values[m[1]]
 			if !ok {
 				return "", fmt.Errorf("line %d: ${%s}: the template declares no such parameter", i+1, m[1])
 			}
-			// Quoted, so that a value is never read as YAML syntax.
-			l = strings.ReplaceAll(l, m[0], scalar(v))
+			// Quoted, so that a value is never parsed as YAML syntax.
+			l = strings.ReplaceAll(l, m[0], quoteScalar(v))
 		}
 		lines[i] = l
 	}
@@ -131,7 +132,7 @@
 
 var plainScalar = regexp.MustCompile(`^[A-Za-z0-9._:/+-]+$`)
 
-func scalar(v string) string {
+func quoteScalar(v string) string {
 	if plainScalar.MatchString(v) && !strings.HasSuffix(v, ":") && !strings.HasPrefix(v, "-") {
 		return v
 	}
@@ -145,14 +146,14 @@
 		Parameters yaml.Node `yaml:"parameters"`
 		Services   []Service `yaml:"services"`
 	}
-	if err := strict(body, &t); err != nil {
+	if err := decodeStrict(body, &t); err != nil {
 		return nil, err
 	}
 	lines := serviceLines(body)
 	seen := make(map[string]bool)
 	for i := range t.Services {
 		s := &t.Services[i]
-		s.defaults()
+		s.setDefaults()
 		if err := s.check(); err != nil {
 			return nil, fmt.Errorf("line %d: service %q: %w", lines[i], s.Name, err)
 		}
@@ -164,12 +165,12 @@
 	return t.Services, nil
 }
 
-// serviceLines returns the line that each service begins at.
+// serviceLines returns the line at which each service starts.
 func serviceLines(body string) []int {
 	var t struct {
 		Services []yaml.Node `yaml:"services"`
 	}
-	_ = yaml.Unmarshal([]byte(body), &t) // read strictly before
+	_ = yaml.Unmarshal([]byte(body), &t) // the strict decoding before has reported any error
 	r := make([]int, len(t.Services))
 	for i := range t.Services {
 		r[i] = t.Services[i].Line
@@ -177,9 +178,9 @@
 	return r
 }
 
-func (s *Service) defaults() {
-	setDuration(&s.Timeout, defaultTimeout)
-	setDuration(&s.LatencyTarget, defaultTarget)
+func (s *Service) setDefaults() {
+	defaultDuration(&s.Timeout, defaultTimeout)
+	defaultDuration(&s.LatencyTarget, defaultLatencyTarget)
 	if s.Class == "" {
 		s.Class = ClassLive
 	}
@@ -199,14 +200,14 @@
 		s.Limits.MaxTokens = defaultMaxTokens
 	}
 	for i := range s.Calls {
-		setDuration(&s.Calls[i].KeyLifetime, defaultKeyLifetime)
+		defaultDuration(&s.Calls[i].KeyLifetime, defaultKeyLifetime)
 		if s.Calls[i].Outage == "" {
 			s.Calls[i].Outage = OutageRefuse
 		}
 	}
 }
 
-func setDuration(d *Duration, v Duration) {
+func defaultDuration(d *Duration, v Duration) {
 	if *d == 0 {
 		*d = v
 	}
@@ -239,8 +240,8 @@
 	return nil
 }
 
-// MatchCall returns what holds for a call: the first declared group that matches, or
-// the rule that GET and HEAD may be repeated and every other method may not.
+// MatchCall returns the rules for a call: those of the first declared group that matches,
+// or the default, by which GET and HEAD may be repeated and other methods may not.
 func (s *Service) MatchCall(method, path string) Call {
 	for _, c := range s.Calls {
 		if (c.Method == "" || c.Method == method) && strings.HasPrefix(path, c.Path) {
@@ -257,7 +258,7 @@
 
 func repeatableMethod(m string) bool { return m == http.MethodGet || m == http.MethodHead }
 
-// IsRejection tells whether the status says that the upstream did not run the call.
+// IsRejection reports whether a status states that the upstream did not run the call.
 func (s *Service) IsRejection(status int) bool {
 	for _, v := range s.RejectStatuses {
 		if v == status {
@@ -267,7 +268,7 @@
 	return false
 }
 
-// check of a whole set of documents: every workspace renders.
+// checkAll checks that every workspace of a set of documents renders.
 func checkAll(docs map[string]Document) error {
 	for _, d := range docs {
 		if d.Kind != KindWorkspace {
@@ -275,11 +276,11 @@
 		}
 		w, err := d.workspace()
 		if err != nil {
-			return d.located(err)
+			return d.withPosition(err)
 		}
-		t, ok := docs[key(KindTemplate, w.Template)]
+		t, ok := docs[documentKey(KindTemplate, w.Template)]
 		if !ok {
-			return d.located(fmt.Errorf("line 1: template %q doesn't exist", w.Template))
+			return d.withPosition(fmt.Errorf("line 1: template %q doesn't exist", w.Template))
 		}
 		if _, err := Render(&t, &d); err != nil {
 			return err
@@ -288,4 +289,4 @@
 	return nil
 }
 
-func key(k Kind, name string) string { return string(k) + "/" + name }
+func documentKey(k Kind, name string) string { return string(k) + "/" + name }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -13,29 +13,30 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// The store keeps each revision under its own key and the newest revision's
-// number under the head key. One transaction writes both and compares the head,
-// so of two operators that start from the same base exactly one wins.
+// Each revision is stored under its own key, and the number of the newest one under the
+// head key. One transaction compares the head and writes both keys, so of two changes
+// with the same base exactly one succeeds.
 //
-// An answer may be lost after the write took effect. The revision's key then
-// tells: it holds the change id of whoever wrote it.
+// The response to a write may be lost after the write took effect. The revision's key
+// then decides: it holds the id of the change that wrote it.
 
 const (
 	headKey        = "/spurhall/head"
 	revisionPrefix = "/spurhall/config/"
-	// maxValue is the platform's limit on one value.
-	maxValue = 1 << 20
-	// keptRevisions bounds the history, and with it the platform's memory.
-	keptRevisions = 100
+	// maxValueBytes is the platform's limit for one value.
+	maxValueBytes = 1 << 20
+	// maxRevisions bounds the history, and with it the memory it takes in the platform.
+	maxRevisions = 100
 )
 
-// ErrConflict says that somebody else changed the configuration since the base.
+// ErrConflict reports that another change was applied since the base revision.
 var ErrConflict = errs.NewType("conflict").New("the configuration has changed since your base revision")
 
-// ErrUncertain says that the platform gave no answer and couldn't be read back.
+// ErrUncertain reports that the platform sent no response to a write and that reading
+// back did not show whether the write took effect.
 var ErrUncertain = errs.NewType("undecided").New("the platform gave no answer: the change may or may not be in force; look at the history before you try again")
 
-// ErrNoRevision says that a revision doesn't exist.
+// ErrNoRevision reports that a revision doesn't exist.
 var ErrNoRevision = errs.NewType("no_revision").New("no such revision")
 
 // Store reads and writes revisions.
@@ -46,20 +47,20 @@
 // NewStore returns a store in the platform's key-value service.
 func NewStore(kv store.KV) *Store { return &Store{kv: kv} }
 
-// Change is one operator's intent.
+// Change is a change of the configuration that an operator requests.
 type Change struct {
-	ID        string // unique to the intent
+	ID        string // unique per requested change
 	Base      uint64
 	Author    string
 	Note      string
 	At        time.Time
-	Documents []Document // put in place of those of the same kind and name
-	Replace   bool       // Documents are the whole configuration
+	Documents []Document // each replaces the document of the same kind and name
+	Replace   bool       // Documents are the complete configuration
 }
 
 func revisionKey(n uint64) string { return fmt.Sprintf("%s%010d", revisionPrefix, n) }
 
-// Head returns the newest revision, which is 0 before the first.
+// Head returns the newest revision, or revision 0 if there is none.
 func (s *Store) Head(ctx context.Context) (Snapshot, error) {
 	n, _, err := s.head(ctx)
 	if err != nil || n == 0 {
@@ -94,7 +95,7 @@
 	return v, err
 }
 
-// History returns the newest revisions, newest first.
+// History returns up to limit revisions, newest first.
 func (s *Store) History(ctx context.Context, limit int) ([]Snapshot, error) {
 	r, err := s.kv.Range(ctx, revisionPrefix, store.PrefixEnd(revisionPrefix))
 	if err != nil {
@@ -111,7 +112,7 @@
 	return list, nil
 }
 
-// Apply writes a change and returns the revision that it made.
+// Apply writes a change and returns the revision it created.
 func (s *Store) Apply(ctx context.Context, c Change) (Snapshot, error) {
 	n, modified, err := s.head(ctx)
 	if err != nil {
@@ -120,7 +121,7 @@
 	if n != c.Base {
 		return Snapshot{}, s.conflict(ctx, c.Base, n)
 	}
-	next, err := s.next(ctx, n, c)
+	next, err := s.buildNext(ctx, n, c)
 	if err != nil {
 		return Snapshot{}, err
 	}
@@ -128,13 +129,13 @@
 	if err != nil {
 		return Snapshot{}, err
 	}
-	if len(b) > maxValue {
-		return Snapshot{}, fault.Because(ErrInvalid, "the configuration would take %d bytes; the platform holds %d", len(b), maxValue)
+	if len(b) > maxValueBytes {
+		return Snapshot{}, fault.Because(ErrInvalid, "the configuration would take %d bytes; the platform holds %d", len(b), maxValueBytes)
 	}
-	r, err := s.kv.Txn(ctx, write(next.Revision, modified, b))
+	r, err := s.kv.Txn(ctx, revisionTxn(next.Revision, modified, b))
 	switch {
 	case errors.Is(err, store.ErrUnknown):
-		return s.readBack(ctx, next)
+		return s.resolveLostResponse(ctx, next)
 	case err != nil:
 		return Snapshot{}, err
 	case !r.Succeeded:
@@ -143,7 +144,7 @@
 	return next, nil
 }
 
-func write(n uint64, modified int64, b []byte) store.Txn {
+func revisionTxn(n uint64, modified int64, b []byte) store.Txn {
 	t := store.Txn{
 		If: []store.Compare{store.Unmodified(headKey, modified), store.Absent(revisionKey(n))},
 		Then: []store.Op{
@@ -151,43 +152,43 @@
 			{Kind: store.OpPut, Key: headKey, Value: []byte(strconv.FormatUint(n, 10))},
 		},
 	}
-	if n > keptRevisions {
-		t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: revisionKey(n - keptRevisions)})
+	if n > maxRevisions {
+		t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: revisionKey(n - maxRevisions)})
 	}
 	return t
 }
 
-func (s *Store) next(ctx context.Context, n uint64, c Change) (Snapshot, error) {
+func (s *Store) buildNext(ctx context.Context, n uint64, c Change) (Snapshot, error) {
 	docs := make(map[string]Document)
 	if n > 0 && !c.Replace {
 		old, err := s.Get(ctx, n)
 		if err != nil {
 			return Snapshot{}, err
 		}
-		docs = index(old.Documents)
+		docs = documentsByKey(old.Documents)
 	}
 	for _, d := range c.Documents {
-		docs[key(d.Kind, d.Name)] = d
+		docs[documentKey(d.Kind, d.Name)] = d
 	}
 	if err := checkAll(docs); err != nil {
 		return Snapshot{}, err
 	}
-	return Snapshot{Revision: n + 1, ChangeID: c.ID, Author: c.Author, Note: c.Note, AppliedAt: c.At, Documents: ordered(docs)}, nil
+	return Snapshot{Revision: n + 1, ChangeID: c.ID, Author: c.Author, Note: c.Note, AppliedAt: c.At, Documents: sortDocuments(docs)}, nil
 }
 
-func ordered(docs map[string]Document) []Document {
+func sortDocuments(docs map[string]Document) []Document {
 	r := make([]Document, 0, len(docs))
 	for _, d := range docs {
 		r = append(r, d)
 	}
-	sort.Slice(r, func(i, j int) bool { return key(r[i].Kind, r[i].Name) < key(r[j].Kind, r[j].Name) })
+	sort.Slice(r, func(i, j int) bool { return documentKey(r[i].Kind, r[i].Name) < documentKey(r[j].Kind, r[j].Name) })
 	return r
 }
 
-// readBack settles a write whose answer was lost. Only a revision that holds
-// this very change id was written by it. When the key is still absent the write
-// may yet arrive, so the answer stays open.
-func (s *Store) readBack(ctx context.Context, want Snapshot) (Snapshot, error) {
+// resolveLostResponse determines the outcome of a write whose response was lost. The write
+// took effect only if the revision has the same change id. If the revision's key is absent,
+// the write may still arrive later, so the outcome stays uncertain.
+func (s *Store) resolveLostResponse(ctx context.Context, want Snapshot) (Snapshot, error) {
 	got, err := s.Get(ctx, want.Revision)
 	switch {
 	case err != nil:
@@ -198,7 +199,7 @@
 	return got, nil
 }
 
-// conflict says who changed what since the base.
+// conflict returns an ErrConflict with the author and note of the newest revision.
 func (s *Store) conflict(ctx context.Context, base, head uint64) error {
 	v, err := s.Get(ctx, max(head, 1))
 	if err != nil {
@@ -220,9 +221,10 @@
 	return s.Apply(ctx, c)
 }
 
-// Follow calls accept with every newer head until the context ends. A watch that
-// breaks is begun again from a fresh read, so a gap is never missed.
-func (s *Store) Follow(ctx context.Context, accept func(Snapshot)) error {
+// Follow calls apply with the newest revision, and again whenever the head changes, until
+// the watch breaks or the context ends. The caller then starts it again; as it begins with
+// a fresh read, no change is missed.
+func (s *Store) Follow(ctx context.Context, apply func(Snapshot)) error {
 	h, err := s.kv.Range(ctx, headKey, "")
 	if err != nil {
 		return err
@@ -231,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	accept(v)
+	apply(v)
 	return s.kv.Watch(ctx, store.Span{Key: headKey, From: h.Revision + 1}, func(b store.WatchBatch) error {
 		if len(b.Events) == 0 {
 			return nil
@@ -240,7 +242,7 @@
 		if err != nil {
 			return err
 		}
-		accept(v)
+		apply(v)
 		return nil
 	})
 }
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// Snapshot is one revision of the whole configuration. Revisions are numbered
-// by one; each is written once and never changed.
+// Snapshot is one revision of the complete configuration. Revision numbers increase by
+// one; a revision is written once and never changes.
 type Snapshot struct {
 	Revision  uint64     `json:"revision"`
-	ChangeID    string     `json:"change"` // names the writer's intent
+	ChangeID  string     `json:"change"` // id of the change that created the revision
 	Author    string     `json:"author"`
 	Note      string     `json:"note"`
-	AppliedAt   time.Time  `json:"applied"`
+	AppliedAt time.Time  `json:"applied"`
 	Documents []Document `json:"documents"`
 }
 
-// ErrStale says that a snapshot is not newer than the one in force.
+// ErrStale reports that a snapshot is not newer than the one in force.
 var ErrStale = errs.NewType("stale").New("not newer than the revision in force")
 
-// RenderedWorkspace is one workspace with its services, ready for use.
+// RenderedWorkspace is one workspace with its rendered services.
 type RenderedWorkspace struct {
-	name     string
-	services map[string]*Service
-	chat     []*Service
+	name         string
+	services     map[string]*Service
+	chatServices []*Service
 }
 
 // Name returns the workspace's name.
 func (r *RenderedWorkspace) Name() string { return r.name }
 
-// Service returns the service of that name, or nil.
+// Service returns a service by name, or nil.
 func (r *RenderedWorkspace) Service(name string) *Service { return r.services[name] }
 
-// ChatService returns the chat service for a model: the service of that name, or the
-// only one there is when the model names none.
+// ChatService returns the chat service whose name is the model, or the workspace's only
+// chat service if the model is empty. Otherwise it returns nil.
 func (r *RenderedWorkspace) ChatService(model string) *Service {
 	if s := r.services[model]; s != nil && s.Protocol == ProtocolChat {
 		return s
 	}
-	if model == "" && len(r.chat) == 1 {
-		return r.chat[0]
+	if model == "" && len(r.chatServices) == 1 {
+		return r.chatServices[0]
 	}
 	return nil
 }
 
-// View is the configuration in force at one node. It only ever moves to a
-// higher revision, whatever order snapshots arrive in and wherever they come
-// from: that is the whole of "never reverts", and the reason why a rollback is a
-// new revision with old content.
+// View is the configuration in force at one node. It only changes to a higher revision,
+// regardless of the order and source of the snapshots it receives, so a node never
+// reverts to an older one. That is also why a rollback is a new revision with the content
+// of an older one.
 type View struct {
 	mu       sync.RWMutex
 	snapshot Snapshot
@@ -59,7 +59,7 @@
 	changed  chan struct{}
 }
 
-// NewView returns a view at revision 0, which holds no workspace.
+// NewView returns a view at revision 0, which has no workspaces.
 func NewView() *View { return &View{changed: make(chan struct{})} }
 
 // Revision returns the revision in force.
@@ -76,14 +76,14 @@
 	return v.snapshot
 }
 
-// Changed returns a channel that closes when the next revision is in force.
+// Changed returns a channel that is closed when the next revision is put in force.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.changed
 }
 
-// WorkspaceByKey returns the workspace that an API key belongs to, or nil.
+// WorkspaceByKey returns the workspace of an API key, or nil.
 func (v *View) WorkspaceByKey(apiKey string) *RenderedWorkspace {
 	h := HashKey(apiKey)
 	v.mu.RLock()
@@ -91,14 +91,15 @@
 	return v.byKey[h]
 }
 
-// WorkspaceByName returns the workspace of that name, or nil.
+// WorkspaceByName returns a workspace by name, or nil.
 func (v *View) WorkspaceByName(name string) *RenderedWorkspace {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byName[name]
 }
 
-// PoolProtocols lists the pools that any service draws on, with the class of each.
+// PoolProtocols returns the pools that services use, each with the protocol of a service
+// that uses it.
 func (v *View) PoolProtocols() map[string]Protocol {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -111,14 +112,14 @@
 	return r
 }
 
-// HashKey returns the form in which an API key is stored.
+// HashKey returns the SHA-256 of an API key in hex, the form in which keys are stored.
 func HashKey(k string) string {
 	h := sha256.Sum256([]byte(k))
 	return hex.EncodeToString(h[:])
 }
 
-// Apply puts a snapshot in force if it is newer than the one that is, and
-// returns ErrStale otherwise.
+// Apply puts a snapshot in force if it is newer than the current one, and returns
+// ErrStale otherwise.
 func (v *View) Apply(s Snapshot) error {
 	byKey, byName, err := renderAll(s)
 	if err != nil {
@@ -135,11 +136,11 @@
 	return nil
 }
 
-// IsStale tells whether an error of Accept only says that nothing was newer.
+// IsStale reports whether an error of Apply is ErrStale.
 func IsStale(err error) bool { return errors.Is(err, ErrStale) }
 
 func renderAll(s Snapshot) (byKey, byName map[string]*RenderedWorkspace, err error) {
-	docs := index(s.Documents)
+	docs := documentsByKey(s.Documents)
 	byKey, byName = make(map[string]*RenderedWorkspace), make(map[string]*RenderedWorkspace)
 	for _, d := range s.Documents {
 		if d.Kind != KindWorkspace {
@@ -147,14 +148,14 @@
 		}
 		w, err := d.workspace()
 		if err != nil {
-			return nil, nil, located("workspace/"+d.Name, 0, err)
+			return nil, nil, withPosition("workspace/"+d.Name, 0, err)
 		}
-		t := docs[key(KindTemplate, w.Template)]
+		t := docs[documentKey(KindTemplate, w.Template)]
 		services, err := Render(&t, &d)
 		if err != nil {
 			return nil, nil, err
 		}
-		r := newRendered(w.Name, services)
+		r := newRenderedWorkspace(w.Name, services)
 		byName[w.Name] = r
 		for _, h := range w.KeyHashes {
 			byKey[h] = r
@@ -163,22 +164,22 @@
 	return byKey, byName, nil
 }
 
-func newRendered(name string, services []Service) *RenderedWorkspace {
+func newRenderedWorkspace(name string, services []Service) *RenderedWorkspace {
 	r := &RenderedWorkspace{name: name, services: make(map[string]*Service, len(services))}
 	for i := range services {
 		s := &services[i]
 		r.services[s.Name] = s
 		if s.Protocol == ProtocolChat {
-			r.chat = append(r.chat, s)
+			r.chatServices = append(r.chatServices, s)
 		}
 	}
 	return r
 }
 
-func index(list []Document) map[string]Document {
+func documentsByKey(list []Document) map[string]Document {
 	r := make(map[string]Document, len(list))
 	for _, d := range list {
-		r[key(d.Kind, d.Name)] = d
+		r[documentKey(d.Kind, d.Name)] = d
 	}
 	return r
 }
