--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,13 +1,15 @@
-// Package catalog is the configuration in force as a node looks it up: routes by host
-// and path, the services behind them, and workspaces by API key.
+// Package catalog indexes the configuration in force for look-ups by a node: routes by
+// host and path, the services they lead to, and workspaces by API key.
 //
-// A Catalog never changes. A new version is a new Catalog, built and checked whole
-// before the one pointer that requests read is swapped; a request keeps the catalog it
-// began with.
+// A Catalog is immutable. A new version is a new Catalog, which is built and validated
+// completely before the pointer that requests read is swapped; a request uses the catalog
+// it started with until its end.
 //
-// Routes are matched by walking the path's own prefixes from the longest to the
-// shortest and looking each up in a map. A trie was weighed: paths here have few
-// segments, and a map of a thousand routes is as fast with a tenth of the code.
+// Routes are matched by looking up the path's prefixes in a map, from the longest to the
+// shortest.
+//
+// Alternatives considered: a trie. Paths have few segments, and a map of a thousand routes
+// is as fast with a tenth of the code.
 package catalog
 
 import (
@@ -22,17 +24,17 @@
 
 var errs = errorx.NewNamespace("catalog")
 
-// ErrInvalid says that a specification can't be used.
+// ErrInvalid reports a specification that can't be used.
 var ErrInvalid = errs.NewType("invalid").New("the configuration is invalid")
 
-// Kind says how often a request may run.
+// Kind is how often a request may run.
 type Kind int
 
-// The kinds.
+// The kinds of request.
 const (
 	KindOnce       Kind = iota // at most once
-	KindRepeatable             // again after a failure
-	KindStream                 // at most once, unless the route may be resumed
+	KindRepeatable             // may run again after a failure
+	KindStream                 // at most once, unless the route is resumable
 )
 
 // String returns the kind's name for logs.
@@ -40,7 +42,7 @@
 	return [...]string{"once", "repeatable", "stream"}[k]
 }
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service with the weight of its share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -48,80 +50,80 @@
 
 // RouteSpec describes one route.
 type RouteSpec struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // the longest that a request is held; 0: no limit
-	LatencyTarget      time.Duration // answers within it are in time
-	MaxEventGap       time.Duration // the longest pause between events that is in time
-	Priority    int           // 0 is the most urgent
+	Name          string
+	Host          string
+	Prefix        string // starts and ends with a slash
+	Kind          Kind
+	Timeout       time.Duration // maximum duration of a request; 0: no limit
+	LatencyTarget time.Duration // responses within it count as in time
+	MaxEventGap   time.Duration // maximum gap between events that counts as in time
+	Priority      int           // 0 is the most urgent
 	Services      []WeightedService
-	MaxAttempts int // upstreams that one request may be sent to
-	Public      bool
-	Affinity    bool // requests share parts of their prompts
-	Resumable   bool // a stream may go on at another upstream
+	MaxAttempts   int // maximum number of upstreams that one request is sent to
+	Public        bool
+	Affinity      bool // requests have prompt prefixes in common
+	Resumable     bool // a stream may continue at another upstream
 }
 
 // EngineSpec describes the model engines of a service.
 type EngineSpec struct {
-	Slots       int
-	CacheTokens int // held by running requests and cached prompt parts together
-	TokensPerEvent int // of one stream event
-	// FetchTokensPerMs is how many cached tokens go from one engine to another in a
-	// millisecond; 0: none do.
+	Slots          int
+	CacheTokens    int // capacity for running requests and cached prompt parts together
+	TokensPerEvent int // tokens in one stream event
+	// FetchTokensPerMs is the number of cached tokens that one engine can fetch from another
+	// per millisecond; 0: engines don't fetch cached tokens.
 	FetchTokensPerMs float64
 }
 
-// ScalingSpec says within what bounds upstreams are ordered.
+// ScalingSpec describes the bounds and prices by which a service is scaled.
 type ScalingSpec struct {
-	Min, Max   int // in each zone
-	BootTime       time.Duration
-	SpotPrice  float64            // of a reclaimable upstream, relative to an on-demand one
-	ZonePrices map[string]float64 // of an upstream, by zone
+	Min, Max   int // upstreams per zone
+	BootTime   time.Duration
+	SpotPrice  float64            // price of a reclaimable upstream relative to an on-demand one
+	ZonePrices map[string]float64 // price of an upstream, by zone
 }
 
 // ServiceSpec describes one service.
 type ServiceSpec struct {
 	Name           string
-	MaxConnections int // that an upstream accepts from all nodes together
+	MaxConnections int // connections that one upstream accepts from all nodes together
 	Engine         *EngineSpec
 	Scaling        *ScalingSpec
 }
 
 // WorkspaceSpec describes one workspace.
 type WorkspaceSpec struct {
-	Name        string
-	Keys        []string
-	HasPriority bool
-	Priority    int     // goes before the route's
-	DefaultTokens float64 // charged for a request that doesn't say its tokens
-	Rate        float64 // tokens a second over all nodes; 0: no limit
-	Burst       float64
+	Name          string
+	Keys          []string
+	HasPriority   bool
+	Priority      int     // takes precedence over the route's
+	DefaultTokens float64 // charged for a request that doesn't state its tokens
+	Rate          float64 // tokens per second over all nodes; 0: no limit
+	Burst         float64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
-	MaxHeaderBytes     int // bytes
-	MaxBodyBytes       int // bytes
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
-// Spec describes a whole version.
+// Spec describes a complete version of the catalog.
 type Spec struct {
 	Version    int64
 	Routes     []RouteSpec
 	Services   []ServiceSpec
 	Workspaces []WorkspaceSpec
-	RequireKey      bool // callers have to show a key
+	RequireKey bool // callers must send an API key
 	Limits     Limits
 }
 
 // Route is one route of a catalog.
 type Route struct {
-	spec  RouteSpec
-	total int
+	spec        RouteSpec
+	totalWeight int
 }
 
 // Name returns the route's name.
@@ -130,42 +132,42 @@
 // Kind returns how often its requests may run.
 func (r *Route) Kind() Kind { return r.spec.Kind }
 
-// Timeout returns the longest that a request is held; 0 means no limit.
+// Timeout returns the maximum duration of a request; 0 means no limit.
 func (r *Route) Timeout() time.Duration { return r.spec.Timeout }
 
-// LatencyTarget returns the time within which an answer is in time.
+// LatencyTarget returns the time within which a response counts as in time.
 func (r *Route) LatencyTarget() time.Duration { return r.spec.LatencyTarget }
 
-// MaxEventGap returns the longest pause between events that is in time.
+// MaxEventGap returns the maximum gap between events that counts as in time.
 func (r *Route) MaxEventGap() time.Duration { return r.spec.MaxEventGap }
 
-// MaxAttempts returns the number of upstreams that one request may be sent to.
+// MaxAttempts returns the maximum number of upstreams that one request is sent to, at least 1.
 func (r *Route) MaxAttempts() int { return max(1, r.spec.MaxAttempts) }
 
-// Priority returns the urgency, 0 being the most urgent.
+// Priority returns the route's priority; 0 is the most urgent.
 func (r *Route) Priority() int { return r.spec.Priority }
 
-// Public tells whether the route serves requests without a key.
+// Public reports whether the route serves requests without an API key.
 func (r *Route) Public() bool { return r.spec.Public }
 
-// Affinity tells whether its requests share parts of their prompts.
+// Affinity reports whether the route's requests have prompt prefixes in common.
 func (r *Route) Affinity() bool { return r.spec.Affinity }
 
-// Resumable tells whether a stream may go on at another upstream.
+// Resumable reports whether a stream may continue at another upstream.
 func (r *Route) Resumable() bool { return r.spec.Resumable }
 
-// Repeatable tells whether a request may run again after it may have run.
+// Repeatable reports whether a request that may have run may run again.
 func (r *Route) Repeatable() bool {
 	return r.spec.Kind == KindRepeatable || r.spec.Kind == KindStream && r.spec.Resumable
 }
 
-// Service returns the service for a request. All nodes choose alike for one id, and
-// ids spread over the shares by their weights.
+// Service returns the service for a request id. All nodes return the same service for the
+// same id, and ids are distributed over the services by weight.
 func (r *Route) Service(id string) string {
-	if len(r.spec.Services) == 1 || r.total == 0 {
+	if len(r.spec.Services) == 1 || r.totalWeight == 0 {
 		return r.spec.Services[0].Service
 	}
-	n := int(xxhash.Sum64String(id) % uint64(r.total))
+	n := int(xxhash.Sum64String(id) % uint64(r.totalWeight))
 	for _, s := range r.spec.Services {
 		if n < s.Weight {
 			return s.Service
@@ -181,16 +183,17 @@
 // Name returns the workspace's name.
 func (w *Workspace) Name() string { return w.spec.Name }
 
-// Rate returns the tokens a second over all nodes; 0 means no limit.
+// Rate returns the workspace's limit in tokens per second over all nodes; 0 means no limit.
 func (w *Workspace) Rate() float64 { return w.spec.Rate }
 
-// Burst returns the tokens on top of the rate.
+// Burst returns the tokens allowed on top of the rate.
 func (w *Workspace) Burst() float64 { return w.spec.Burst }
 
-// DefaultTokens returns the charge for a request that doesn't say its tokens.
+// DefaultTokens returns the tokens charged for a request that doesn't state its tokens.
 func (w *Workspace) DefaultTokens() float64 { return w.spec.DefaultTokens }
 
-// Priority returns the urgency of a request on a route.
+// Priority returns the priority of the workspace's requests on a route. The receiver may be
+// nil: the route's priority then applies.
 func (w *Workspace) Priority(r *Route) int {
 	if w == nil || !w.spec.HasPriority {
 		return r.Priority()
@@ -198,21 +201,21 @@
 	return w.spec.Priority
 }
 
-// Catalog is one version.
+// Catalog is one immutable version of the configuration.
 type Catalog struct {
-	version  int64
-	routes   map[string]map[string]*Route // by host, then prefix
-	services map[string]*ServiceSpec
-	keys     map[string]*Workspace
-	list     []*Workspace
-	keyed    bool
-	limits   Limits
+	version    int64
+	routes     map[string]map[string]*Route // by host, then prefix
+	services   map[string]*ServiceSpec
+	keys       map[string]*Workspace
+	workspaces []*Workspace
+	requireKey bool
+	limits     Limits
 }
 
-// New builds a catalog, or says with ErrInvalid what is wrong.
+// New builds a catalog. It returns ErrInvalid with the reason if the specification is invalid.
 func New(s Spec) (*Catalog, error) {
 	c := &Catalog{
-		version: s.Version, keyed: s.RequireKey, limits: s.Limits,
+		version: s.Version, requireKey: s.RequireKey, limits: s.Limits,
 		routes: make(map[string]map[string]*Route), services: make(map[string]*ServiceSpec), keys: make(map[string]*Workspace),
 	}
 	for i := range s.Services {
@@ -225,7 +228,7 @@
 	}
 	for _, w := range s.Workspaces {
 		v := &Workspace{spec: w}
-		c.list = append(c.list, v)
+		c.workspaces = append(c.workspaces, v)
 		for _, k := range w.Keys {
 			c.keys[k] = v
 		}
@@ -245,9 +248,9 @@
 		if v.Weight < 0 {
 			return fault.Because(ErrInvalid, "route %q: service %q has the negative weight %d", s.Name, v.Service, v.Weight)
 		}
-		r.total += v.Weight
+		r.totalWeight += v.Weight
 	}
-	h := normalHost(s.Host)
+	h := normalizeHost(s.Host)
 	if c.routes[h] == nil {
 		c.routes[h] = make(map[string]*Route)
 	}
@@ -255,32 +258,32 @@
 	return nil
 }
 
-func normalHost(h string) string {
+func normalizeHost(h string) string {
 	if i := strings.LastIndexByte(h, ':'); i >= 0 && !strings.HasSuffix(h, "]") {
 		h = h[:i]
 	}
 	return strings.ToLower(h)
 }
 
-// Version returns the version's number; a higher one is newer.
+// Version returns the version number; a higher number is newer.
 func (c *Catalog) Version() int64 { return c.version }
 
-// RequiresKey tells whether callers have to show a key.
-func (c *Catalog) RequiresKey() bool { return c.keyed }
+// RequiresKey reports whether callers must send an API key.
+func (c *Catalog) RequiresKey() bool { return c.requireKey }
 
-// Limits returns what a caller may send.
+// Limits returns the bounds on what a caller may send.
 func (c *Catalog) Limits() Limits { return c.limits }
 
 // Workspaces returns all workspaces.
-func (c *Catalog) Workspaces() []*Workspace { return c.list }
+func (c *Catalog) Workspaces() []*Workspace { return c.workspaces }
 
-// Workspace returns the owner of a key, or nil.
+// Workspace returns the workspace of an API key, or nil.
 func (c *Catalog) Workspace(key string) *Workspace { return c.keys[key] }
 
-// Service returns a service, or nil.
+// Service returns a service by name, or nil.
 func (c *Catalog) Service(name string) *ServiceSpec { return c.services[name] }
 
-// Services returns the names of all services that are scaled, in no order.
+// Services returns the names of all services, in no particular order.
 func (c *Catalog) Services() []string {
 	var r []string
 	for n := range c.services {
@@ -291,7 +294,7 @@
 
 // Match returns the route with the longest prefix of the path, or nil.
 func (c *Catalog) Match(host, path string) *Route {
-	m := c.routes[normalHost(host)]
+	m := c.routes[normalizeHost(host)]
 	if m == nil {
 		return nil
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -39,12 +39,12 @@
 	t.Run("a prefix ends at a slash", func(t *testing.T) { assertRoute(t, c, "a.example", "/x/yz", "x") })
 	t.Run("the prefix itself", func(t *testing.T) { assertRoute(t, c, "a.example", "/x/", "x") })
 	t.Run("without its slash", func(t *testing.T) { assertRoute(t, c, "a.example", "/x", "root") })
-	t.Run("port and case of the host don't count", func(t *testing.T) { assertRoute(t, c, "b.Example:80", "/x/1", "b") })
+	t.Run("port and case of the host are ignored", func(t *testing.T) { assertRoute(t, c, "b.Example:80", "/x/1", "b") })
 	t.Run("no such path", func(t *testing.T) { assertRoute(t, c, "b.example", "/y/", "") })
 	t.Run("no such host", func(t *testing.T) { assertRoute(t, c, "c.example", "/x/", "") })
 }
 
-func TestSharesFollowWeights(t *testing.T) {
+func TestServicesFollowWeights(t *testing.T) {
 	s := route("r", "a", "/")
 	s.Services = []WeightedService{{"big", 90}, {"small", 10}, {"none", 0}}
 	r := build(t, Spec{Routes: []RouteSpec{s}}).Match("a", "/")
@@ -57,7 +57,7 @@
 	assert.Zero(t, n["none"])
 }
 
-func TestInvalid(t *testing.T) {
+func TestInvalidSpec(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		r    RouteSpec
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestWorkspacePriorityGoesFirst(t *testing.T) {
+func TestWorkspacePriorityOverridesRoute(t *testing.T) {
 	c := build(t, Spec{
 		Routes:     []RouteSpec{{Name: "r", Host: "a", Prefix: "/", Priority: 3, Services: []WeightedService{{"s", 1}}}},
 		Workspaces: []WorkspaceSpec{{Name: "w", Keys: []string{"k1", "k2"}, HasPriority: true, Priority: 1}, {Name: "v", Keys: []string{"k3"}}},
