--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-func good() Settings {
+func validSettings() Settings {
 	return Settings{
 		VM: "n1", Hall: "hall-a", CallerListen: "127.0.0.1:1", PeerListen: "127.0.0.1:2", AdminListen: "127.0.0.1:3",
 		PlatformURL: "http://127.0.0.1:4", PlatformRate: 100, RoutePolicy: "affinity", ExchangeInterval: time.Second,
@@ -30,34 +30,34 @@
 }
 
 func TestCheck(t *testing.T) {
-	ok := good()
+	ok := validSettings()
 	require.NoError(t, ok.Check())
 	cases := []struct {
 		name, flag string
-		spoil      func(s *Settings)
+		change     func(s *Settings)
 	}{
 		{"name with a dot", "--vm", func(s *Settings) { s.VM = "a.b" }},
-		{"host name", "--peer-listen", func(s *Settings) { s.PeerListen = "localhost:1" }},
+		{"host name instead of an address", "--peer-listen", func(s *Settings) { s.PeerListen = "localhost:1" }},
 		{"no scheme", "--platform", func(s *Settings) { s.PlatformURL = "127.0.0.1:4" }},
 		{"no rate", "--platform-rate", func(s *Settings) { s.PlatformRate = 0 }},
-		{"too quick", "--exchange", func(s *Settings) { s.ExchangeInterval = time.Millisecond }},
+		{"interval too short", "--exchange", func(s *Settings) { s.ExchangeInterval = time.Millisecond }},
 		{"token instead of its hash", "--admin-token-hash", func(s *Settings) { s.AdminTokenHashes = []string{"secret"} }},
 		{"certificate without key", "--tls-cert", func(s *Settings) { s.CertFile = "x" }},
-		{"open to all without TLS", "--admin-listen", func(s *Settings) { s.AdminListen = "0.0.0.0:3" }},
+		{"public address without TLS", "--admin-listen", func(s *Settings) { s.AdminListen = "0.0.0.0:3" }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := good()
-			c.spoil(&s)
+			s := validSettings()
+			c.change(&s)
 			assert.ErrorContains(t, s.Check(), c.flag)
 		})
 	}
-	open := good()
+	open := validSettings()
 	open.AdminListen, open.Insecure = "0.0.0.0:3", true
-	assert.NoError(t, open.Check(), "said to be wanted")
+	assert.NoError(t, open.Check(), "--insecure allows it")
 }
 
-// authority makes certificates for 127.0.0.1.
+// authority is a certificate authority that issues certificates for 127.0.0.1.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -95,20 +95,20 @@
 	require.NoError(t, os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: b}), 0o600))
 }
 
-// serial connects and returns the serial number of the server's certificate.
-func serial(address string, c *tls.Config) (int64, error) {
+// serverSerial connects and returns the serial number of the server's certificate.
+func serverSerial(address string, c *tls.Config) (int64, error) {
 	v, err := tls.Dial("tcp", address, c)
 	if err != nil {
 		return 0, err
 	}
 	defer v.Close()
-	if _, err := io.ReadAll(v); err != nil { // the server's verdict on our certificate
+	if _, err := io.ReadAll(v); err != nil { // fails if the server rejected the client's certificate
 		return 0, err
 	}
 	return v.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func TestPeersCheckEachOtherAndReload(t *testing.T) {
+func TestMutualTLSAndReload(t *testing.T) {
 	d := t.TempDir()
 	cert, key := filepath.Join(d, "c.pem"), filepath.Join(d, "k.pem")
 	a := newAuthority(t)
@@ -129,22 +129,22 @@
 		}
 	}()
 	address := l.Addr().String()
-	n, err := serial(address, c.ClientConfig(a.pool))
+	n, err := serverSerial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, n)
-	_, err = serial(address, &tls.Config{RootCAs: a.pool})
-	assert.Error(t, err, "no certificate")
-	_, err = serial(address, c.ClientConfig(newAuthority(t).pool))
-	assert.Error(t, err, "another authority")
+	_, err = serverSerial(address, &tls.Config{RootCAs: a.pool})
+	assert.Error(t, err, "client without a certificate")
+	_, err = serverSerial(address, c.ClientConfig(newAuthority(t).pool))
+	assert.Error(t, err, "server certificate of another authority")
 	a.issue(t, 3, cert, key)
 	require.NoError(t, os.Chtimes(cert, time.Now().Add(time.Minute), time.Now().Add(time.Minute)))
-	clock.Advance(certificateCheck)
-	n, err = serial(address, c.ClientConfig(a.pool))
+	clock.Advance(certificateCheckInterval)
+	n, err = serverSerial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
-	assert.EqualValues(t, 3, n, "read again without a restart")
+	assert.EqualValues(t, 3, n, "reloaded without a restart")
 	require.NoError(t, os.WriteFile(cert, []byte("half"), 0o600))
-	clock.Advance(certificateCheck)
-	n, err = serial(address, c.ClientConfig(a.pool))
+	clock.Advance(certificateCheckInterval)
+	n, err = serverSerial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
-	assert.EqualValues(t, 3, n, "broken files leave the old ones in use")
+	assert.EqualValues(t, 3, n, "an invalid file leaves the previous certificate in use")
 }
