--- a/internal/stream/record.go
+++ b/internal/stream/record.go
@@ -1,12 +1,12 @@
-// Package stream holds the answer of one request as it grows, apart from the
-// connection that asked for it. The writer is whatever attempt is current; the
-// readers are the caller's connection, and the same caller coming back after its
-// connection or its entry VM went away.
+// Package stream records the response to one request as it is generated, independently of
+// the connection that sent the request. The current attempt writes the record. It is read
+// by the caller's connection, and by later connections of the same caller after the first
+// one or its entry VM failed.
 //
-// An attempt has a number. When a new one begins, chunks of the older ones are
-// dropped, however late they come, and a chunk is only taken at exactly the next
-// offset. So the text is always one answer without gaps or repeats, whichever
-// upstreams it came from.
+// Attempts are numbered. Once a new attempt starts, chunks of older ones are rejected,
+// however late they arrive, and a chunk is only appended at exactly the next offset. The
+// text is therefore always one response without gaps or repeats, whichever upstreams
+// generated its parts.
 package stream
 
 import (
@@ -23,15 +23,15 @@
 var errs = errorx.NewNamespace("stream")
 
 var (
-	// ErrOldAttempt says that the chunk belongs to an attempt that was replaced.
+	// ErrOldAttempt reports that the chunk belongs to an attempt that was replaced.
 	ErrOldAttempt = errs.NewType("old_attempt").New("the chunk belongs to an older attempt")
-	// ErrGap says that the chunk is not the next one.
+	// ErrGap reports that the chunk's offset is not the next one.
 	ErrGap = errs.NewType("gap").New("the chunk is not at the next offset")
-	// ErrEnded says that the request has ended.
+	// ErrEnded reports that the request has ended.
 	ErrEnded = errs.NewType("ended").New("the request has ended")
 )
 
-// Outcome is how a request was accounted for.
+// Outcome is how a request ended, or OutcomeOpen while it has not.
 type Outcome string
 
 // The outcomes, as callers see them in the Spurhall-Outcome header.
@@ -42,36 +42,36 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Record is one request's answer.
+// Record is the response to one request. It is safe for concurrent use.
 type Record struct {
-	mu       sync.Mutex
-	id       string
-	pieces   []string
-	attempt  int
-	outcome  Outcome
-	failure  string
-	after    time.Duration
-	changed  chan struct{}
-	finished time.Time
-	usage    Usage
-	readers  int
-	left     time.Time
-}
-
-// Usage is the engine's count of tokens.
+	mu             sync.Mutex
+	id             string
+	tokens         []string
+	attempt        int
+	outcome        Outcome
+	failure        string
+	retryAfter     time.Duration
+	changed        chan struct{}
+	finishedAt     time.Time
+	usage          Usage
+	readers        int
+	lastReaderLeft time.Time
+}
+
+// Usage is the engine's count of prompt tokens, and of those that were cached.
 type Usage struct {
 	Prompt int
 	Cached int
 }
 
-// SetUsage takes in the engine's count.
+// SetUsage records the engine's token count.
 func (r *Record) SetUsage(u Usage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.usage = u
 }
 
-// Usage returns the engine's count, which is zero until the answer is whole.
+// Usage returns the engine's token count, which is zero until the response is complete.
 func (r *Record) Usage() Usage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,26 +81,26 @@
 // NewRecord returns an empty record.
 func NewRecord(id string) *Record { return &Record{id: id, changed: make(chan struct{})} }
 
-// Restore returns a record that goes on from tokens produced elsewhere.
+// Restore returns a record that continues from tokens generated elsewhere.
 func Restore(id string, pieces []string, attempt int) *Record {
 	r := NewRecord(id)
-	r.pieces, r.attempt = append([]string(nil), pieces...), attempt
+	r.tokens, r.attempt = append([]string(nil), pieces...), attempt
 	return r
 }
 
-// ID returns the request's id.
+// ID returns the request id.
 func (r *Record) ID() string { return r.id }
 
-// StartAttempt starts a new attempt and returns its number and the offset that it has to
-// go on from.
+// StartAttempt starts a new attempt and returns its number and the offset from which it
+// continues.
 func (r *Record) StartAttempt() (attempt, offset int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempt++
-	return r.attempt, len(r.pieces)
+	return r.attempt, len(r.tokens)
 }
 
-// Append takes the next token of an attempt.
+// Append appends the next token of an attempt.
 func (r *Record) Append(attempt, offset int, text string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,32 +109,32 @@
 		return ErrEnded
 	case attempt != r.attempt:
 		return fault.Because(ErrOldAttempt, "attempt %d, current %d", attempt, r.attempt)
-	case offset != len(r.pieces):
-		return fault.Because(ErrGap, "offset %d, next %d", offset, len(r.pieces))
+	case offset != len(r.tokens):
+		return fault.Because(ErrGap, "offset %d, next %d", offset, len(r.tokens))
 	}
-	r.pieces = append(r.pieces, text)
-	r.wakeLocked()
+	r.tokens = append(r.tokens, text)
+	r.notifyLocked()
 	return nil
 }
 
-func (r *Record) wakeLocked() {
+func (r *Record) notifyLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Finish ends the request, once. It tells whether this call was the one.
-func (r *Record) Finish(o Outcome, failure string, after time.Duration, now time.Time) bool {
+// Finish ends the request. It returns false if the request had already ended.
+func (r *Record) Finish(o Outcome, failure string, retryAfter time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.finishLocked(o, failure, after, now)
+	return r.finishLocked(o, failure, retryAfter, now)
 }
 
-func (r *Record) finishLocked(o Outcome, failure string, after time.Duration, now time.Time) bool {
+func (r *Record) finishLocked(o Outcome, failure string, retryAfter time.Duration, now time.Time) bool {
 	if r.outcome != OutcomeOpen {
 		return false
 	}
-	r.outcome, r.failure, r.after, r.finished = o, failure, after, now
-	r.wakeLocked()
+	r.outcome, r.failure, r.retryAfter, r.finishedAt = o, failure, retryAfter, now
+	r.notifyLocked()
 	return true
 }
 
@@ -145,16 +145,16 @@
 	return attempt == r.attempt && r.finishLocked(OutcomeDone, "", 0, now)
 }
 
-// View is what a reader sees.
+// View is the state of a record for a reader.
 type View struct {
-	Pieces   []string // from the offset asked for
-	Outcome  Outcome
-	Failure  string
-	RetryAfter    time.Duration
+	Pieces     []string // from the requested offset
+	Outcome    Outcome
+	Failure    string
+	RetryAfter time.Duration
 	FinishedAt time.Time
 }
 
-// Read returns what there is from an offset on, without waiting.
+// Read returns the tokens available from an offset, without waiting.
 func (r *Record) Read(from int) View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,15 +162,15 @@
 }
 
 func (r *Record) viewLocked(from int) View {
-	v := View{Outcome: r.outcome, Failure: r.failure, RetryAfter: r.after, FinishedAt: r.finished}
-	if from < len(r.pieces) {
-		v.Pieces = append(v.Pieces, r.pieces[from:]...)
+	v := View{Outcome: r.outcome, Failure: r.failure, RetryAfter: r.retryAfter, FinishedAt: r.finishedAt}
+	if from < len(r.tokens) {
+		v.Pieces = append(v.Pieces, r.tokens[from:]...)
 	}
 	return v
 }
 
-// Wait returns when there is something from an offset on, or the request has
-// ended, or the context has.
+// Wait blocks until tokens from an offset are available, the request has ended, or the
+// context is done.
 func (r *Record) Wait(ctx context.Context, from int) (View, error) {
 	for {
 		r.mu.Lock()
@@ -191,7 +191,7 @@
 func (r *Record) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.pieces)
+	return len(r.tokens)
 }
 
 // Attempt returns the number of the current attempt.
@@ -201,17 +201,17 @@
 	return r.attempt
 }
 
-// Text returns the answer so far.
+// Text returns the text of the response so far.
 func (r *Record) Text() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return strings.Join(r.pieces, "")
+	return strings.Join(r.tokens, "")
 }
 
 // Pieces returns the tokens so far.
 func (r *Record) Pieces() []string { return r.Read(0).Pieces }
 
-// AddReader counts a reader in, and returns the function that counts it out.
+// AddReader counts a reader and returns the function to call when it leaves.
 func (r *Record) AddReader(now func() time.Time) func() {
 	r.mu.Lock()
 	r.readers++
@@ -220,13 +220,14 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.readers--
-		r.left = now()
+		r.lastReaderLeft = now()
 	}
 }
 
-// UnreadSince returns since when nobody reads, and whether that is so.
+// UnreadSince returns the time at which the last reader left. It returns false if there is
+// a reader, or has never been one.
 func (r *Record) UnreadSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left, r.readers == 0 && !r.left.IsZero()
+	return r.lastReaderLeft, r.readers == 0 && !r.lastReaderLeft.IsZero()
 }
