--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds the model requests that this node has accepted, or keeps
-// for another node: what was asked for, whose it is, and the answer so far.
+// Package request holds the model requests that this node has accepted or keeps a copy of
+// for another node: the call itself, the node that runs it, and the response so far.
 package request
 
 import (
@@ -13,42 +13,42 @@
 
 // Request is one accepted model request.
 type Request struct {
-	mu        sync.Mutex
-	id        string
-	workspace string
-	service   string
-	body      []byte
-	job       bool
-	accepted  time.Time
-	owner     string // the node that runs it
-	from      string // the node that handed it over, if any
-	record    *stream.Record
-	cancel    func()
-	done      chan struct{} // closes when it no longer runs here
-	moved     bool
-}
-
-// Spec is what a request is made of.
+	mu            sync.Mutex
+	id            string
+	workspace     string
+	service       string
+	body          []byte
+	job           bool
+	acceptedAt    time.Time
+	owner         string // the node that runs the request
+	previousOwner string // the node that handed the request over, if any
+	record        *stream.Record
+	cancel        func()
+	done          chan struct{} // closed when the request no longer runs on this node
+	moved         bool
+}
+
+// Spec is the state of a request as it is journalled and sent to other nodes.
 type Spec struct {
-	ID        string
-	Workspace string
-	Service   string
-	Body      []byte
-	Job       bool
-	AcceptedAt  time.Time
-	Owner     string
-	PreviousOwner      string // the owner before, known only to the one after it
-	Pieces    []string
-	Attempt   int
-	Outcome   stream.Outcome
-	Failure   string
-}
-
-// New returns a request.
+	ID            string
+	Workspace     string
+	Service       string
+	Body          []byte
+	Job           bool
+	AcceptedAt    time.Time
+	Owner         string
+	PreviousOwner string // only set on the node that took the request over; neither sent nor journalled
+	Pieces        []string
+	Attempt       int
+	Outcome       stream.Outcome
+	Failure       string
+}
+
+// New returns a request with the state of a spec.
 func New(s Spec) *Request {
 	r := &Request{
 		id: s.ID, workspace: s.Workspace, service: s.Service, body: s.Body, job: s.Job,
-		accepted: s.AcceptedAt, owner: s.Owner, from: s.PreviousOwner, record: stream.Restore(s.ID, s.Pieces, s.Attempt),
+		acceptedAt: s.AcceptedAt, owner: s.Owner, previousOwner: s.PreviousOwner, record: stream.Restore(s.ID, s.Pieces, s.Attempt),
 	}
 	if s.Outcome != stream.OutcomeOpen {
 		r.record.Finish(s.Outcome, s.Failure, 0, s.AcceptedAt)
@@ -56,46 +56,46 @@
 	return r
 }
 
-// ID returns the id.
+// ID returns the request id.
 func (r *Request) ID() string { return r.id }
 
-// Workspace returns the name of the workspace it belongs to.
+// Workspace returns the name of the workspace that sent the request.
 func (r *Request) Workspace() string { return r.workspace }
 
-// Service returns the name of the service it asked for.
+// Service returns the name of the requested service.
 func (r *Request) Service() string { return r.service }
 
-// Body returns the caller's body.
+// Body returns the body as the caller sent it.
 func (r *Request) Body() []byte { return r.body }
 
-// Job tells whether it was accepted as a job.
+// Job reports whether the request was accepted as a job.
 func (r *Request) Job() bool { return r.job }
 
-// AcceptedAt returns when it was accepted.
-func (r *Request) AcceptedAt() time.Time { return r.accepted }
+// AcceptedAt returns the time at which the request was accepted.
+func (r *Request) AcceptedAt() time.Time { return r.acceptedAt }
 
-// Record returns the answer.
+// Record returns the record of the response.
 func (r *Request) Record() *stream.Record { return r.record }
 
-// Owner returns the node that runs it.
+// Owner returns the node that runs the request.
 func (r *Request) Owner() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.owner
 }
 
-// PreviousOwner returns the node that had the request before, if it was taken over.
-func (r *Request) PreviousOwner() string { return r.from }
+// PreviousOwner returns the node that the request was taken over from, or "".
+func (r *Request) PreviousOwner() string { return r.previousOwner }
 
-// SetOwner changes who runs it.
+// SetOwner sets the node that runs the request.
 func (r *Request) SetOwner(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owner = id
 }
 
-// MarkRunning notes that the request runs here, with what stops it. The function it returns
-// is called when it no longer does.
+// MarkRunning records that the request runs on this node and that cancel stops it. The
+// caller calls the returned function once the request no longer runs.
 func (r *Request) MarkRunning(cancel func()) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 	return sync.OnceFunc(func() { close(r.done) })
 }
 
-// Cancel stops the running request, which then ends without an answer.
+// Cancel stops the running request, which then ends without a response.
 func (r *Request) Cancel() {
 	r.mu.Lock()
 	f := r.cancel
@@ -113,8 +113,8 @@
 	}
 }
 
-// Stop stops the running request here and waits until it has stopped, without ending its
-// record: it goes on elsewhere, or is run here again.
+// Stop stops the running request on this node and waits until it has stopped. The record
+// stays open, as the request continues on another node or is started here again.
 func (r *Request) Stop() {
 	r.mu.Lock()
 	f, done := r.cancel, r.done
@@ -126,23 +126,23 @@
 	}
 }
 
-// Moved tells whether it was stopped here because it goes on elsewhere.
+// Moved reports whether Stop was called since the request last started on this node.
 func (r *Request) Moved() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.moved
 }
 
-// Spec returns the request as it stands.
+// Spec returns the current state of the request.
 func (r *Request) Spec() Spec {
 	v := r.record.Read(0)
 	return Spec{
-		ID: r.id, Workspace: r.workspace, Service: r.service, Body: r.body, Job: r.job, AcceptedAt: r.accepted,
+		ID: r.id, Workspace: r.workspace, Service: r.service, Body: r.body, Job: r.job, AcceptedAt: r.acceptedAt,
 		Owner: r.Owner(), Pieces: v.Pieces, Attempt: r.record.Attempt(), Outcome: v.Outcome, Failure: v.Failure,
 	}
 }
 
-// Wire returns the form between processes.
+// Wire returns the wire message of the spec.
 func (s *Spec) Wire() *wire.HeldRequest {
 	return &wire.HeldRequest{
 		Id: s.ID, Workspace: s.Workspace, Service: s.Service, Body: s.Body, Pieces: s.Pieces, Job: s.Job,
@@ -151,7 +151,7 @@
 	}
 }
 
-// FromWire reads the form between processes.
+// FromWire returns the spec of a wire message.
 func FromWire(w *wire.HeldRequest) Spec {
 	return Spec{
 		ID: w.Id, Workspace: w.Workspace, Service: w.Service, Body: w.Body, Pieces: w.Pieces, Job: w.Job,
@@ -160,10 +160,10 @@
 	}
 }
 
-// MarshalJSON writes the form that is journalled.
+// MarshalJSON encodes the spec for the journal.
 func (s Spec) MarshalJSON() ([]byte, error) { return json.Marshal(s.Wire()) }
 
-// UnmarshalJSON reads the form that is journalled.
+// UnmarshalJSON decodes a spec from the journal.
 func (s *Spec) UnmarshalJSON(b []byte) error {
 	var w wire.HeldRequest
 	if err := json.Unmarshal(b, &w); err != nil {
@@ -173,53 +173,53 @@
 	return nil
 }
 
-// Registry holds the requests by id. It is safe for concurrent use.
+// Registry holds a node's requests by id. It is safe for concurrent use.
 type Registry struct {
-	mu   sync.Mutex
-	held map[string]*Request
+	mu       sync.Mutex
+	requests map[string]*Request
 }
 
 // NewRegistry returns an empty registry.
-func NewRegistry() *Registry { return &Registry{held: make(map[string]*Request)} }
+func NewRegistry() *Registry { return &Registry{requests: make(map[string]*Request)} }
 
-// Add puts a request in, unless there is one of that id, which it then returns.
+// Add adds a request. If the id is already present, it returns that request and false.
 func (g *Registry) Add(r *Request) (*Request, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if o := g.held[r.id]; o != nil {
+	if o := g.requests[r.id]; o != nil {
 		return o, false
 	}
-	g.held[r.id] = r
+	g.requests[r.id] = r
 	return r, true
 }
 
-// Replace puts a request in, whatever was there.
+// Replace adds a request, in place of the one with the same id if there is one.
 func (g *Registry) Replace(r *Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[r.id] = r
+	g.requests[r.id] = r
 }
 
 // Get returns a request, or nil.
 func (g *Registry) Get(id string) *Request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.held[id]
+	return g.requests[id]
 }
 
-// Remove takes a request out.
+// Remove removes a request.
 func (g *Registry) Remove(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.held, id)
+	delete(g.requests, id)
 }
 
-// List returns the requests that keep accepts.
+// List returns the requests for which keep returns true, in no particular order.
 func (g *Registry) List(keep func(r *Request) bool) []*Request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var l []*Request
-	for _, r := range g.held {
+	for _, r := range g.requests {
 		if keep(r) {
 			l = append(l, r)
 		}
@@ -227,15 +227,16 @@
 	return l
 }
 
-// Sweep drops the requests that ended before a time, so that memory follows use.
+// Sweep removes the requests that ended before a time, to bound memory, and returns their
+// number.
 func (g *Registry) Sweep(before time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
-	for id, r := range g.held {
+	for id, r := range g.requests {
 		v := r.record.Read(0)
 		if v.Outcome != stream.OutcomeOpen && v.FinishedAt.Before(before) {
-			delete(g.held, id)
+			delete(g.requests, id)
 			n++
 		}
 	}
