--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -14,7 +14,7 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// assertTrials checks what is heard of roll-outs.
+// assertTrials checks that the received trials are in known stages.
 func assertTrials(t *testing.T, list []rollout.Word) {
 	t.Helper()
 	for _, w := range list {
@@ -22,7 +22,7 @@
 	}
 }
 
-// assertLoads checks what is heard of upstreams.
+// assertLoads checks that the received loads aren't negative.
 func assertLoads(t *testing.T, list []pool.Load) {
 	t.Helper()
 	for _, l := range list {
@@ -30,8 +30,8 @@
 	}
 }
 
-// FuzzMessages: whatever bytes another node sends, of another version or broken, what is read of them is taken in
-// without a panic, and holds nothing that can't be.
+// FuzzMessages decodes arbitrary bytes, as a faulty node or one of another version could send them, and applies
+// the result. Nothing may panic, and no decoded value may be invalid.
 func FuzzMessages(f *testing.F) {
 	seed := func(m proto.Message) {
 		b, err := proto.Marshal(m)
@@ -49,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		now := clock.Service().Now()
-		p, book := pool.New(clock.Service(), "a", "h"), relay.NewBook("a", "l")
+		p, aggregator := pool.New(clock.Service(), "a", "h"), relay.NewBook("a", "l")
 		p.Update(func(l *pool.List) {
 			l.Put(pool.Item{Entry: pool.Entry{ID: "u", Service: "s", Address: "10.0.0.1:1", Slots: 8}, Revision: 1})
 		})
@@ -58,7 +58,7 @@
 			v := GroupFromWire(&g)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Share.Loads)
-			book.TakeIn(now, v)
+			aggregator.TakeIn(now, v)
 		}
 		var d wire.GatherResponse
 		if proto.Unmarshal(b, &d) == nil {
@@ -74,7 +74,7 @@
 			v := ReportFromWire(&r)
 			assertTrials(t, v.Trials)
 			assertLoads(t, v.Loads)
-			book.Gather(now, v)
+			aggregator.Gather(now, v)
 			p.TakeIn("n", v.Loads, v.Placed, nil)
 			p.TakeReach(v.Reach)
 		}
@@ -84,8 +84,8 @@
 			assert.GreaterOrEqual(t, v.Entry.Slots, 0)
 			p.Update(func(l *pool.List) { l.Put(v) })
 		}
-		book.Expire(now)
-		book.Digest(now, "n", 0)
+		aggregator.Expire(now)
+		aggregator.Digest(now, "n", 0)
 		if u := p.Pick(pool.Need{ID: "x", Service: "s"}); u != nil {
 			u.End(pool.ResultGood)
 		}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,9 +1,10 @@
-// Package message turns what nodes on the users' platform tell each other into the messages of package wire,
-// and back. Durations and ages go as whole milliseconds: clocks differ between VMs, so no message bears a time
-// of day. What a message doesn't have, as one of a node of an earlier version, is the zero value; what can't
-// be, as of a broken one, is the nearest that can, or isn't heard.
+// Package message converts the state that nodes exchange to the messages of package wire and back. Durations
+// and ages are sent as whole milliseconds, and no message contains a time of day, since clocks differ between
+// VMs. A field that a message lacks, such as one from a node of an earlier version, becomes the zero value. An
+// invalid value, such as one from a faulty node, is clamped to the nearest valid one or ignored.
 //
-// Kept apart from the types themselves: most of these are of packages that decide and know no wire.
+// The conversions are separate from the types because most of these belong to packages of decision logic that
+// don't depend on package wire.
 package message
 
 import (
@@ -18,15 +19,15 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// longest bounds durations and ages, so that none overflows: no process lives for a hundred years.
-const longest = 100 * 365 * 24 * time.Hour
+// maxDuration bounds received durations and ages, so that none overflows. No process runs for a hundred years.
+const maxDuration = 100 * 365 * 24 * time.Hour
 
-// FromMillis returns a number of milliseconds as a duration. One that can't be is the nearest that can.
+// FromMillis converts milliseconds to a duration, clamped to the range from 0 to maxDuration.
 func FromMillis(n int64) time.Duration {
-	return time.Duration(min(max(0, n), longest.Milliseconds())) * time.Millisecond
+	return time.Duration(min(max(0, n), maxDuration.Milliseconds())) * time.Millisecond
 }
 
-// LoadsToWire returns the message of what a node has at upstreams.
+// LoadsToWire converts a node's load at upstreams.
 func LoadsToWire(l []pool.Load) []*wire.Load {
 	r := make([]*wire.Load, len(l))
 	for i, v := range l {
@@ -46,7 +47,7 @@
 	return r
 }
 
-// PlacementsToWire returns the message of where prompt prefixes were read.
+// PlacementsToWire converts the upstreams at which prompt prefixes were processed.
 func PlacementsToWire(l []pool.Placement) []*wire.Placed {
 	r := make([]*wire.Placed, len(l))
 	for i, v := range l {
@@ -55,7 +56,7 @@
 	return r
 }
 
-// PlacementsFromWire is the inverse of PlacedToWire.
+// PlacementsFromWire is the inverse of PlacementsToWire.
 func PlacementsFromWire(l []*wire.Placed) []pool.Placement {
 	r := make([]pool.Placement, len(l))
 	for i, v := range l {
@@ -64,7 +65,7 @@
 	return r
 }
 
-// SpentToWire returns the message of what was charged, in tokens by workspace.
+// SpentToWire converts the charged tokens by workspace.
 func SpentToWire(m map[string]float64) []*wire.Spent {
 	r := make([]*wire.Spent, 0, len(m))
 	for w, v := range m {
@@ -82,7 +83,7 @@
 	return r
 }
 
-// StartedToWire returns the message of the requests that were begun, by window and workspace.
+// StartedToWire converts the number of started requests by window and workspace.
 func StartedToWire(w usage.Windows) []*wire.Started {
 	var r []*wire.Started
 	for k, c := range w {
@@ -105,7 +106,7 @@
 	return w
 }
 
-// ReportFromWire returns what a relay takes from a node's report.
+// ReportFromWire converts a node's report to a relay.
 func ReportFromWire(r *wire.NodeReport) relay.Report {
 	return relay.Report{
 		Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: FromMillis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
@@ -114,7 +115,7 @@
 	}
 }
 
-// ReachToWire returns the message of what can't be reached, and of the halls that answered.
+// ReachToWire converts the unreachable upstreams and the ages of the halls' last responses.
 func ReachToWire(r pool.Reach) *wire.Reach {
 	m := &wire.Reach{}
 	for _, v := range r.Unreached {
@@ -138,7 +139,7 @@
 	return r
 }
 
-// TrialsToWire returns the message of what is known of roll-outs.
+// TrialsToWire converts the state of roll-outs.
 func TrialsToWire(l []rollout.Word) []*wire.Trial {
 	var r []*wire.Trial
 	for _, w := range l {
@@ -155,12 +156,12 @@
 	return r
 }
 
-// TrialsFromWire is the inverse of TrialsToWire.
+// TrialsFromWire is the inverse of TrialsToWire. It ignores trials in unknown stages.
 func TrialsFromWire(l []*wire.Trial) []rollout.Word {
 	var r []rollout.Word
 	for _, t := range l {
 		if !rollout.Stage(t.Stage).Known() {
-			continue // of a node of another version; what isn't known here can't be followed
+			continue // from a node of another version: a stage unknown to this one can't be applied
 		}
 		w := rollout.Word{
 			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), Sign: rollout.Sign{Term: t.Term, Beat: t.Beat},
@@ -176,8 +177,8 @@
 	return r
 }
 
-// ShareToWire returns the message of what some nodes together have at upstreams. Whether all that
-// they have sent is known is the reader's to say.
+// ShareToWire converts the combined load of some nodes at upstreams. The message doesn't state whether it is
+// complete; the receiver determines that.
 func ShareToWire(s pool.Share) *wire.Share {
 	return &wire.Share{AgeMs: s.Age.Milliseconds(), Loads: LoadsToWire(s.Loads)}
 }
@@ -187,7 +188,7 @@
 	return pool.Share{Age: FromMillis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
 }
 
-// ChangesToWire returns the message of what a relay tells of its nodes.
+// ChangesToWire converts a relay's changes of the state of its nodes.
 func ChangesToWire(l []relay.Change) []*wire.Change {
 	r := make([]*wire.Change, len(l))
 	for i, c := range l {
@@ -211,7 +212,7 @@
 	return r
 }
 
-// GroupToWire returns a relay's message to another one.
+// GroupToWire converts a relay's message to another relay.
 func GroupToWire(g relay.Group) *wire.Group {
 	return &wire.Group{
 		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacementsToWire(g.Placed),
@@ -227,7 +228,7 @@
 	}
 }
 
-// DigestToWire returns a relay's message to a node that reports to it.
+// DigestToWire converts a relay's response to a node that reports to it.
 func DigestToWire(d relay.Digest) *wire.GatherResponse {
 	r := &wire.GatherResponse{Lifetime: d.Lifetime, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacementsToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reach)}
 	for _, s := range d.Shares {
@@ -254,7 +255,7 @@
 	return d
 }
 
-// ItemToWire returns the message of an upstream's entry, with the store's revision.
+// ItemToWire converts an upstream's entry with its revision in the store.
 func ItemToWire(v pool.Item) *wire.ListItem {
 	e := v.Entry
 	return &wire.ListItem{
@@ -263,7 +264,7 @@
 	}
 }
 
-// ItemsFromWire is the inverse of ItemToWire for a list.
+// ItemsFromWire converts a list of items with ItemFromWire.
 func ItemsFromWire(list []*wire.ListItem) []pool.Item {
 	items := make([]pool.Item, 0, len(list))
 	for _, v := range list {
@@ -280,10 +281,10 @@
 	}}
 }
 
-// LimitsToWire returns the messages of what upstreams take from all nodes together.
-func LimitsToWire(now time.Time, words []limit.Word) []*wire.Limited {
-	list := make([]*wire.Limited, len(words))
-	for i, w := range words {
+// LimitsToWire converts the rates that upstreams accept from all nodes together. Times become ages at now.
+func LimitsToWire(now time.Time, observations []limit.Word) []*wire.Limited {
+	list := make([]*wire.Limited, len(observations))
+	for i, w := range observations {
 		list[i] = &wire.Limited{Upstream: w.Of.ID, Born: w.Of.Born, Rate: w.Rate, Lifted: w.Lifted, AgeMs: now.Sub(w.At).Milliseconds()}
 	}
 	return list
@@ -291,9 +292,9 @@
 
 // LimitsFromWire is the inverse of LimitsToWire.
 func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
-	words := make([]limit.Word, len(list))
+	observations := make([]limit.Word, len(list))
 	for i, v := range list {
-		words[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-FromMillis(v.AgeMs))}
+		observations[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-FromMillis(v.AgeMs))}
 	}
-	return words
+	return observations
 }
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -16,34 +16,34 @@
 )
 
 var (
-	names = rapid.StringMatching("[a-z0-9-]{1,6}")
-	ages  = rapid.Custom(func(t *rapid.T) time.Duration { return FromMillis(rapid.Int64Range(0, 1<<40).Draw(t, "ms")) })
-	loads = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Load {
+	names     = rapid.StringMatching("[a-z0-9-]{1,6}")
+	durations = rapid.Custom(func(t *rapid.T) time.Duration { return FromMillis(rapid.Int64Range(0, 1<<40).Draw(t, "ms")) })
+	loads     = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Load {
 		return pool.Load{
 			Upstream: names.Draw(t, "upstream"), Running: rapid.IntRange(0, 1000).Draw(t, "running"),
 			Queued: float64(rapid.IntRange(0, 1e6).Draw(t, "queued")), Held: float64(rapid.IntRange(0, 1e6).Draw(t, "held")),
 		}
 	}), 0, 3)
-	placed = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Placement {
+	placements = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) pool.Placement {
 		return pool.Placement{Prefix: rapid.Uint64().Draw(t, "prefix"), Upstream: names.Draw(t, "upstream")}
 	}), 0, 3)
 	shares = rapid.Custom(func(t *rapid.T) pool.Share {
-		return pool.Share{Age: ages.Draw(t, "age"), Loads: loads.Draw(t, "loads")}
+		return pool.Share{Age: durations.Draw(t, "age"), Loads: loads.Draw(t, "loads")}
 	})
-	reaches = rapid.Custom(func(t *rapid.T) pool.Reach {
-		r := pool.Reach{Answered: rapid.MapOfN(names, ages, 0, 3).Draw(t, "answered")}
+	reachabilities = rapid.Custom(func(t *rapid.T) pool.Reach {
+		r := pool.Reach{Answered: rapid.MapOfN(names, durations, 0, 3).Draw(t, "answered")}
 		for range rapid.IntRange(0, 2).Draw(t, "unreached") {
 			r.Unreached = append(r.Unreached, pool.Unreached{
 				Upstream: names.Draw(t, "upstream"), Born: rapid.Int64().Draw(t, "born"), Nodes: rapid.IntRange(0, 400).Draw(t, "nodes"),
-				Age: ages.Draw(t, "age"), Gone: rapid.Bool().Draw(t, "gone"),
+				Age: durations.Draw(t, "age"), Gone: rapid.Bool().Draw(t, "gone"),
 			})
 		}
 		return r
 	})
 	changes = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) relay.Change {
 		c := relay.Change{
-			Node: names.Draw(t, "node"), Lifetime: names.Draw(t, "lifetime"), Sequence: rapid.Uint64().Draw(t, "sequence"), Uptime: ages.Draw(t, "uptime"),
-			Age: ages.Draw(t, "age"), Relay: names.Draw(t, "relay"), Silent: rapid.Bool().Draw(t, "silent"),
+			Node: names.Draw(t, "node"), Lifetime: names.Draw(t, "lifetime"), Sequence: rapid.Uint64().Draw(t, "sequence"), Uptime: durations.Draw(t, "uptime"),
+			Age: durations.Draw(t, "age"), Relay: names.Draw(t, "relay"), Silent: rapid.Bool().Draw(t, "silent"),
 			Spent: rapid.MapOfN(names, rapid.Float64Range(0, 1e9), 0, 3).Draw(t, "spent"), Started: make(usage.Windows),
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "windows") {
@@ -70,31 +70,31 @@
 	})
 )
 
-// send sets to, as another node gets m.
+// send encodes m and decodes it into to, as on the way to another node.
 func send(t *rapid.T, m, to proto.Message) {
 	b, err := proto.Marshal(m)
 	assert.NoError(t, err)
 	assert.NoError(t, proto.Unmarshal(b, to))
 }
 
-// TestMessages: what one node tells is what the other one hears.
-func TestMessages(t *testing.T) {
-	t.Run("a relay's word to another", func(t *testing.T) {
+// TestRoundTrip checks that a receiver decodes exactly the state that was sent.
+func TestRoundTrip(t *testing.T) {
+	t.Run("a relay's message to another relay", func(t *testing.T) {
 		rapid.Check(t, func(t *rapid.T) {
 			g := relay.Group{
 				Relay: names.Draw(t, "relay"), Lifetime: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Share: shares.Draw(t, "share"),
-				Changes: changes.Draw(t, "changes"), Placed: placed.Draw(t, "placed"), Trials: trials.Draw(t, "trials"),
+				Changes: changes.Draw(t, "changes"), Placed: placements.Draw(t, "placed"), Trials: trials.Draw(t, "trials"),
 			}
 			var m wire.Group
 			send(t, GroupToWire(g), &m)
 			assert.Equal(t, g, GroupFromWire(&m))
 		})
 	})
-	t.Run("a relay's word to a node", func(t *testing.T) {
+	t.Run("a relay's digest to a node", func(t *testing.T) {
 		rapid.Check(t, func(t *rapid.T) {
 			d := relay.Digest{
-				Lifetime: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Relays: rapid.MapOfN(names, ages, 0, 3).Draw(t, "relays"),
-				Changes: changes.Draw(t, "changes"), Placed: placed.Draw(t, "placed"), Trials: trials.Draw(t, "trials"), Reach: reaches.Draw(t, "reach"),
+				Lifetime: names.Draw(t, "lifetime"), Version: rapid.Uint64().Draw(t, "version"), Relays: rapid.MapOfN(names, durations, 0, 3).Draw(t, "relays"),
+				Changes: changes.Draw(t, "changes"), Placed: placements.Draw(t, "placed"), Trials: trials.Draw(t, "trials"), Reach: reachabilities.Draw(t, "reach"),
 			}
 			for range rapid.IntRange(0, 2).Draw(t, "shares") {
 				d.Shares = append(d.Shares, shares.Draw(t, "share"))
@@ -109,7 +109,7 @@
 			v := pool.Item{Revision: rapid.Int64().Draw(t, "revision"), Entry: pool.Entry{
 				ID: names.Draw(t, "id"), Born: rapid.Int64().Draw(t, "born"), Service: names.Draw(t, "service"), Address: names.Draw(t, "address"),
 				Hall: names.Draw(t, "hall"), Version: names.Draw(t, "version"), Slots: rapid.IntRange(0, 1000).Draw(t, "slots"), Leaving: rapid.Bool().Draw(t, "leaving"),
-				WarmUp: ages.Draw(t, "warm"), Reclaimable: rapid.Bool().Draw(t, "reclaimable"), LeavesIn: ages.Draw(t, "leaves"),
+				WarmUp: durations.Draw(t, "warm"), Reclaimable: rapid.Bool().Draw(t, "reclaimable"), LeavesIn: durations.Draw(t, "leaves"),
 				Declared: rapid.Bool().Draw(t, "declared"), Begun: rapid.Int64().Draw(t, "begun"),
 			}}
 			var m wire.ListItem
@@ -117,7 +117,7 @@
 			assert.Equal(t, v, ItemFromWire(&m))
 		})
 	})
-	t.Run("a message without anything is that of a node that has nothing to tell", func(t *testing.T) {
+	t.Run("an empty message is that of a node without state to send", func(t *testing.T) {
 		assert.Empty(t, ReportFromWire(&wire.NodeReport{}).Loads)
 		assert.Empty(t, DigestFromWire(&wire.GatherResponse{}).Changes)
 		assert.Zero(t, GroupFromWire(&wire.Group{}).Share.Age)
