--- a/internal/job/journal.go
+++ b/internal/job/journal.go
@@ -1,13 +1,14 @@
-// Package job keeps accepted jobs in the platform's key-value service, so that a
-// node that dies without notice takes none with it.
+// Package job stores accepted jobs in the platform's key-value service, so that no job is
+// lost when a node crashes.
 //
-// A job is one key. Accepting puts it if it is absent; finishing replaces it with
-// the answer if it still is as this owner knows it; taking over changes its owner
-// under the same condition. So two nodes may both run a job for a while (a model
-// call may be repeated), but only one answer is ever the job's.
+// Each job has one key. Accept puts it if it is absent; Finish replaces it with the
+// response if it is unchanged since this owner read it; TakeOver changes the owner under
+// the same condition. Two nodes may therefore run a job at the same time for a while (a
+// model call may be repeated), but only one response is stored.
 //
-// Many accepts go into one transaction, at an interval that the write budget sets:
-// with a thousand jobs a second the platform still sees a few writes.
+// Accepted jobs are committed in batches, one transaction per interval. The interval
+// follows from the write budget: at a thousand jobs per second the platform still sees
+// only a few writes.
 package job
 
 import (
@@ -26,18 +27,18 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-const prefix = "/spurhall/jobs/"
+const keyPrefix = "/spurhall/jobs/"
 
 var errs = errorx.NewNamespace("job")
 
 var (
-	// ErrNotOwner says that the job has another owner or an answer by now.
+	// ErrNotOwner reports that the job has another owner or already has a response.
 	ErrNotOwner = errs.NewType("not_owner").New("the job belongs to another node by now, or has its answer")
-	// ErrNotWritten says that the job was not written down, and won't be.
+	// ErrNotWritten reports that the job was not stored, and will not be.
 	ErrNotWritten = errs.NewType("unheld").New("the job was not written to the platform")
-	// ErrUncertain says that the job may have been written down, or may yet be.
+	// ErrUncertain reports that the job may have been stored, or may still be.
 	ErrUncertain = errs.NewType("uncertain").New("the platform gave no answer, the job may be written down")
-	// ErrFull says that too many jobs wait to be written.
+	// ErrFull reports that the queue of jobs to be stored is full.
 	ErrFull = errs.NewType("full").New("too many jobs wait to be written")
 )
 
@@ -46,34 +47,34 @@
 	kv       store.KV
 	clock    *timer.Service
 	interval time.Duration
-	queue    chan accept
+	queue    chan pendingJob
 }
 
-type accept struct {
+type pendingJob struct {
 	spec   request.Spec
 	result chan error
 }
 
-// queueLimit bounds the accepts that wait for the next commit. When it is full, a
-// job is refused at once.
+// maxQueued bounds the jobs that wait for the next commit; further ones are rejected at
+// once.
 const (
-	queueLimit = 4096
-	batchLimit = 60
-	batchBytes = 768 << 10
+	maxQueued     = 4096
+	maxBatchJobs  = 60
+	maxBatchBytes = 768 << 10
 )
 
-// New returns a journal. Run has to be called for Accept to end.
+// New returns a journal. Accept only returns a result while Run runs.
 func New(kv store.KV, clock *timer.Service, interval time.Duration) *Journal {
-	return &Journal{kv: kv, clock: clock, interval: interval, queue: make(chan accept, queueLimit)}
+	return &Journal{kv: kv, clock: clock, interval: interval, queue: make(chan pendingJob, maxQueued)}
 }
 
 // Run commits accepted jobs until the context ends.
 func (j *Journal) Run(ctx context.Context) {
-	var held *accept
+	var next *pendingJob
 	for {
-		var list []accept
-		if held != nil {
-			list, held = append(list, *held), nil
+		var list []pendingJob
+		if next != nil {
+			list, next = append(list, *next), nil
 		} else {
 			select {
 			case a := <-j.queue:
@@ -83,20 +84,20 @@
 			}
 		}
 		_ = j.clock.Sleep(ctx, j.interval)
-		list, held = j.fill(list)
+		list, next = j.fill(list)
 		j.commit(ctx, list)
 	}
 }
 
-// fill takes what waits, up to the limits of one transaction. A job that would
-// exceed them is kept for the next.
-func (j *Journal) fill(list []accept) ([]accept, *accept) {
+// fill adds queued jobs to a batch, up to the limits of one transaction. A job that would
+// exceed the size limit is returned separately and starts the next batch.
+func (j *Journal) fill(list []pendingJob) ([]pendingJob, *pendingJob) {
 	size := len(list[0].spec.Body)
-	for len(list) < batchLimit {
+	for len(list) < maxBatchJobs {
 		select {
 		case a := <-j.queue:
 			size += len(a.spec.Body)
-			if size > batchBytes {
+			if size > maxBatchBytes {
 				return list, &a
 			}
 			list = append(list, a)
@@ -107,14 +108,14 @@
 	return list, nil
 }
 
-func (j *Journal) commit(ctx context.Context, list []accept) {
+func (j *Journal) commit(ctx context.Context, list []pendingJob) {
 	t := store.Txn{}
 	for _, a := range list {
 		b, err := json.Marshal(a.spec)
 		if err != nil {
 			continue
 		}
-		k := prefix + a.spec.ID
+		k := keyPrefix + a.spec.ID
 		t.If = append(t.If, store.Absent(k))
 		t.Then = append(t.Then, store.Op{Kind: store.OpPut, Key: k, Value: b})
 	}
@@ -123,7 +124,7 @@
 		err = ErrNotWritten
 	}
 	if errors.Is(err, store.ErrUnknown) {
-		err = j.readBack(ctx, list[0].spec)
+		err = j.resolveLostResponse(ctx, list[0].spec)
 	} else if err != nil {
 		err = fault.Because(ErrNotWritten, "%v", err)
 	}
@@ -132,9 +133,10 @@
 	}
 }
 
-// readBack settles a commit that got no answer: its keys were written together, so
-// one of them tells. A key that isn't there may still come.
-func (j *Journal) readBack(ctx context.Context, s request.Spec) error {
+// resolveLostResponse determines the outcome of a commit whose response was lost. The keys
+// of a commit are written atomically, so one of them shows whether it took effect. If that
+// key is absent, the commit may still arrive later.
+func (j *Journal) resolveLostResponse(ctx context.Context, s request.Spec) error {
 	_, revision, err := j.Get(ctx, s.ID)
 	switch {
 	case err != nil:
@@ -145,17 +147,17 @@
 	return nil
 }
 
-// Withdraw makes sure that a job which is refused to its caller never runs: it puts an
-// answer of not-run where the job would be, so that a write still under way finds the
-// key taken.
+// Withdraw ensures that a job which was rejected to its caller never runs: it stores a
+// not-run response under the job's key, so that a write still in flight finds the key
+// present and fails.
 func (j *Journal) Withdraw(ctx context.Context, s request.Spec) error {
 	s.Outcome, s.Failure = stream.OutcomeNotRun, "refused when it was asked for"
 	return j.Finish(ctx, s, func(owner string) bool { return owner == s.Owner })
 }
 
-// Accept writes a job down and returns when it is held.
+// Accept stores a job and returns once it is stored.
 func (j *Journal) Accept(ctx context.Context, s request.Spec) error {
-	a := accept{spec: s, result: make(chan error, 1)}
+	a := pendingJob{spec: s, result: make(chan error, 1)}
 	select {
 	case j.queue <- a:
 	default:
@@ -169,10 +171,9 @@
 	}
 }
 
-// Get returns a job as it is written down, and its revision; revision 0 means that
-// there is none.
+// Get returns a job as stored and its revision. Revision 0 means that the job doesn't exist.
 func (j *Journal) Get(ctx context.Context, id string) (request.Spec, int64, error) {
-	r, err := j.kv.Range(ctx, prefix+id, "")
+	r, err := j.kv.Range(ctx, keyPrefix+id, "")
 	if err != nil || len(r.Pairs) == 0 {
 		return request.Spec{}, 0, err
 	}
@@ -181,24 +182,24 @@
 	return s, r.Pairs[0].Modified, err
 }
 
-// Entry is what there is to know of a job without its text.
+// Entry is a stored job without its request and response.
 type Entry struct {
 	ID    string
 	Owner string
-	Open  bool // no answer yet
+	Open  bool // no response yet
 }
 
-// Follow calls f for every job, and again for each that changes, until the watch
-// breaks or the context ends. A job that was removed is no longer open.
+// Follow calls f for every job, and again for each that changes, until the watch breaks or
+// the context ends. A removed job is passed as one that is not open.
 func (j *Journal) Follow(ctx context.Context, f func(e Entry)) error {
-	r, err := j.kv.Range(ctx, prefix, store.PrefixEnd(prefix))
+	r, err := j.kv.Range(ctx, keyPrefix, store.PrefixEnd(keyPrefix))
 	if err != nil {
 		return err
 	}
 	for _, p := range r.Pairs {
 		f(entry(p))
 	}
-	return j.kv.Watch(ctx, store.Under(prefix, r.Revision+1), func(b store.WatchBatch) error {
+	return j.kv.Watch(ctx, store.Under(keyPrefix, r.Revision+1), func(b store.WatchBatch) error {
 		for _, e := range b.Events {
 			f(entry(e.Pair))
 		}
@@ -206,9 +207,9 @@
 	})
 }
 
-// entry reads a pair. The value of a deleted one is empty, and so not open.
+// entry decodes a pair. A deleted pair has an empty value, so its entry is not open.
 func entry(p store.Pair) Entry {
-	e := Entry{ID: strings.TrimPrefix(p.Key, prefix)}
+	e := Entry{ID: strings.TrimPrefix(p.Key, keyPrefix)}
 	var s request.Spec
 	if json.Unmarshal(p.Value, &s) == nil {
 		e.Owner, e.Open = s.Owner, s.Outcome == stream.OutcomeOpen
@@ -216,22 +217,22 @@
 	return e
 }
 
-// retention is how long an answer is kept.
+// retention is how long a response is stored.
 const retention = 24 * time.Hour
 
-// Finish writes a job's answer. mine tells whether an owner on record is this node
-// or one that it took the job over from. A job that was accepted without the platform is
-// written now, with its answer. ErrNotOwner means that another answer stands, or
-// that another node has the job now.
-func (j *Journal) Finish(ctx context.Context, s request.Spec, mine func(owner string) bool) error {
+// Finish stores a job's response. owned reports whether a stored owner is this node or one
+// that it took the job over from. A job that was accepted without the platform is stored
+// now, with its response. ErrNotOwner means that another response is stored, or that
+// another node owns the job.
+func (j *Journal) Finish(ctx context.Context, s request.Spec, owned func(owner string) bool) error {
 	old, revision, err := j.Get(ctx, s.ID)
 	if err != nil {
 		return err
 	}
 	if old.Owner == s.Owner && old.Outcome == s.Outcome && old.Outcome != stream.OutcomeOpen {
-		return nil // written before, only the answer was lost
+		return nil // already stored, but the platform's response was lost
 	}
-	if revision != 0 && (!mine(old.Owner) || old.Outcome != stream.OutcomeOpen) {
+	if revision != 0 && (!owned(old.Owner) || old.Outcome != stream.OutcomeOpen) {
 		return ErrNotOwner
 	}
 	lease, err := j.kv.Grant(ctx, retention)
@@ -241,7 +242,7 @@
 	return j.replace(ctx, s, revision, lease)
 }
 
-// TakeOver makes a node the owner of a job that is as it was read at a revision.
+// TakeOver makes a node the owner of a job that is unchanged since a revision.
 func (j *Journal) TakeOver(ctx context.Context, s request.Spec, revision int64, owner string) error {
 	s.Owner = owner
 	return j.replace(ctx, s, revision, 0)
@@ -252,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	k := prefix + s.ID
+	k := keyPrefix + s.ID
 	r, err := j.kv.Txn(ctx, store.Txn{
 		If:   []store.Compare{store.Unmodified(k, revision)},
 		Then: []store.Op{{Kind: store.OpPut, Key: k, Value: b, Lease: lease}},
--- a/internal/job/journal_test.go
+++ b/internal/job/journal_test.go
@@ -16,12 +16,12 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// lossy is a platform whose transactions can lose their answers after the effect, or be
-// held back and have it later.
+// lossy is a platform that can lose the response to a transaction after its effect, delay
+// the transaction until deliver is called, or be unavailable.
 type lossy struct {
 	store.KV
-	mode string
-	held []store.Txn
+	mode    string
+	delayed []store.Txn
 }
 
 func newLossy(t *testing.T) *lossy {
@@ -35,7 +35,7 @@
 			_, _ = real(ctx, x)
 			return store.TxnResult{}, store.ErrUnknown
 		case "late":
-			l.held = append(l.held, x)
+			l.delayed = append(l.delayed, x)
 			return store.TxnResult{}, store.ErrUnknown
 		case "down":
 			return store.TxnResult{}, store.ErrUnavailable
@@ -47,7 +47,7 @@
 
 func (l *lossy) deliver(t *testing.T) {
 	l.mode = ""
-	for _, x := range l.held {
+	for _, x := range l.delayed {
 		_, err := l.KV.Txn(context.Background(), x)
 		require.NoError(t, err)
 	}
@@ -61,7 +61,7 @@
 	return j
 }
 
-func TestAcceptSaysWhatIsCertain(t *testing.T) {
+func TestAcceptResults(t *testing.T) {
 	ctx := context.Background()
 	l := newLossy(t)
 	j := startJournal(t, l)
@@ -73,18 +73,18 @@
 	assert.ErrorIs(t, j.Accept(ctx, s), ErrNotWritten)
 	l.mode = "late"
 	s.ID = "c"
-	assert.ErrorIs(t, j.Accept(ctx, s), ErrUncertain, "absent now says nothing of later")
-	t.Run("withdrawn, the late write finds the key taken", func(t *testing.T) {
+	assert.ErrorIs(t, j.Accept(ctx, s), ErrUncertain, "an absent key may still be written")
+	t.Run("withdrawn, the late write finds the key present", func(t *testing.T) {
 		l.mode = ""
 		require.NoError(t, j.Withdraw(ctx, s))
 		l.deliver(t)
 		got, _, err := j.Get(ctx, "c")
 		require.NoError(t, err)
-		assert.Equal(t, stream.OutcomeNotRun, got.Outcome, "nobody takes it over and runs it")
+		assert.Equal(t, stream.OutcomeNotRun, got.Outcome, "no node takes it over and runs it")
 	})
 }
 
-func TestOnlyOneAnswerStands(t *testing.T) {
+func TestOnlyOneResponseIsStored(t *testing.T) {
 	ctx := context.Background()
 	l := newLossy(t)
 	j := startJournal(t, l)
@@ -93,7 +93,7 @@
 	got, revision, err := j.Get(ctx, "a")
 	require.NoError(t, err)
 	require.NoError(t, j.TakeOver(ctx, got, revision, "n2"))
-	assert.ErrorIs(t, j.TakeOver(ctx, got, revision, "n3"), ErrNotOwner, "one of two takes it")
+	assert.ErrorIs(t, j.TakeOver(ctx, got, revision, "n3"), ErrNotOwner, "only one of two takeovers succeeds")
 	done := func(owner string, mode string) error {
 		l.mode = mode
 		v := request.Spec{ID: "a", Owner: owner, Outcome: stream.OutcomeDone, Pieces: []string{owner}}
@@ -101,9 +101,9 @@
 		l.mode = ""
 		return err
 	}
-	assert.ErrorIs(t, done("n1", ""), ErrNotOwner, "the old owner comes back late")
-	assert.Error(t, done("n2", "after"), "its answer is lost")
-	assert.NoError(t, done("n2", ""), "the same answer again is no other answer")
+	assert.ErrorIs(t, done("n1", ""), ErrNotOwner, "the previous owner finishes late")
+	assert.Error(t, done("n2", "after"), "the platform's response is lost")
+	assert.NoError(t, done("n2", ""), "storing the same response again succeeds")
 	got, _, err = j.Get(ctx, "a")
 	require.NoError(t, err)
 	assert.Equal(t, []string{"n2"}, got.Pieces)
