--- a/cmd/spurhalld/main.go
+++ b/cmd/spurhalld/main.go
@@ -74,7 +74,7 @@
 		VM: c.String("vm"), Hall: c.String("hall"), Zone: c.String("zone"), CallerListen: c.String("listen"),
 		PeerListen: c.String("peer-listen"), AdminListen: c.String("admin-listen"), Seeds: c.StringSlice("seed"),
 		PlatformURL: c.String("platform"), PlatformRate: c.Float("platform-rate"), RoutePolicy: c.String("route-policy"),
-		CrossHallLatency: c.Duration("cross-hall"), ExchangeInterval: c.Duration("exchange"), Drain: c.Duration("drain"),
+		CrossHallLatency: c.Duration("cross-hall"), ExchangeInterval: c.Duration("exchange"), DrainTimeout: c.Duration("drain"),
 		LogLevel: c.String("log-level"), AdminTokenHashes: c.StringSlice("admin-token-hash"),
 		CertFile: c.String("tls-cert"), KeyFile: c.String("tls-key"), CAFile: c.String("tls-ca"), Autoscale: c.Bool("autoscale"), Insecure: c.Bool("insecure"),
 	}
@@ -165,7 +165,7 @@
 	}
 	n.Start()
 	<-stop
-	x, cancel := context.WithTimeout(context.Background(), s.Drain)
+	x, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
 	defer cancel()
 	go func() {
 		<-stop // the second signal
--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -208,7 +208,7 @@
 			if v, err = r.Record().Wait(ctx, n); err != nil {
 				return nil // the caller has left
 			}
-			n += len(v.Pieces)
+			n += len(v.Tokens)
 		}
 		if v.Outcome != stream.OutcomeDone {
 			writeFailure(w, failureOf(r.ID(), &v))
@@ -247,7 +247,7 @@
 		if err != nil {
 			return nil
 		}
-		if v.Outcome != stream.OutcomeOpen && v.Outcome != stream.OutcomeDone && len(v.Pieces) == 0 {
+		if v.Outcome != stream.OutcomeOpen && v.Outcome != stream.OutcomeDone && len(v.Tokens) == 0 {
 			writeFailure(w, failureOf(r.ID(), &v))
 			return nil
 		}
@@ -259,10 +259,10 @@
 		w.WriteHeader(http.StatusOK)
 		out := &events{w: w, c: http.NewResponseController(w), now: s.o.Clock.Wall, id: r.ID(), next: from}
 		for {
-			if err := out.write(v.Pieces); err != nil {
+			if err := out.write(v.Tokens); err != nil {
 				return nil // a caller that is gone or too slow; it may come back by id
 			}
-			if v.Outcome != stream.OutcomeOpen && len(v.Pieces) == 0 || v.Outcome != stream.OutcomeOpen && out.next == r.Record().Len() {
+			if v.Outcome != stream.OutcomeOpen && len(v.Tokens) == 0 || v.Outcome != stream.OutcomeOpen && out.next == r.Record().Len() {
 				break
 			}
 			if v, err = r.Record().Wait(ctx, out.next); err != nil {
@@ -373,7 +373,7 @@
 		w.Header().Set(HeaderRequest, r.ID())
 		switch v.Outcome {
 		case stream.OutcomeOpen:
-			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "running", "tokens": len(v.Pieces)})
+			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "running", "tokens": len(v.Tokens)})
 		case stream.OutcomeDone:
 			w.Header().Set(HeaderOutcome, string(v.Outcome))
 			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "done", "result": completion(r)})
--- a/internal/job/journal_test.go
+++ b/internal/job/journal_test.go
@@ -96,7 +96,7 @@
 	assert.ErrorIs(t, j.TakeOver(ctx, got, revision, "n3"), ErrNotOwner, "only one of two takeovers succeeds")
 	done := func(owner string, mode string) error {
 		l.mode = mode
-		v := request.Spec{ID: "a", Owner: owner, Outcome: stream.OutcomeDone, Pieces: []string{owner}}
+		v := request.Spec{ID: "a", Owner: owner, Outcome: stream.OutcomeDone, Tokens: []string{owner}}
 		err := j.Finish(ctx, v, func(o string) bool { return o == owner })
 		l.mode = ""
 		return err
@@ -106,5 +106,5 @@
 	assert.NoError(t, done("n2", ""), "storing the same response again succeeds")
 	got, _, err = j.Get(ctx, "a")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"n2"}, got.Pieces)
+	assert.Equal(t, []string{"n2"}, got.Tokens)
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -116,7 +116,7 @@
 			continue
 		}
 		r.SetOwner(id)
-		n.log.Add("request_handed_over", r.ID(), fmt.Sprintf("to %s at offset %d", id, len(s.Pieces)))
+		n.log.Add("request_handed_over", r.ID(), fmt.Sprintf("to %s at offset %d", id, len(s.Tokens)))
 		if r.Job() {
 			n.transferJob(r.ID(), id)
 		}
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -126,8 +126,8 @@
 		if err != nil {
 			return err
 		}
-		c := &wire.ReadChunk{Offset: int32(next), Pieces: w.Pieces, Outcome: string(w.Outcome), Failure: w.Failure}
-		next += len(w.Pieces)
+		c := &wire.ReadChunk{Offset: int32(next), Pieces: w.Tokens, Outcome: string(w.Outcome), Failure: w.Failure}
+		next += len(w.Tokens)
 		if err := out.Send(c); err != nil || w.Outcome != stream.OutcomeOpen {
 			return err
 		}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -61,7 +61,7 @@
 	}
 	v := r.Record().Read(0)
 	ingress.Outcomes.Add(string(v.Outcome), 1)
-	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Pieces), r.Record().Attempt()))
+	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Tokens), r.Record().Attempt()))
 }
 
 // jobDeadline is how long an accepted job is tried.
@@ -408,8 +408,8 @@
 	}
 	if old := n.registry.Get(s.ID); old != nil {
 		// A copy held here may be further than what was written down.
-		if p := old.Record().Pieces(); len(p) > len(s.Pieces) {
-			s.Pieces = p
+		if p := old.Record().Tokens(); len(p) > len(s.Tokens) {
+			s.Tokens = p
 		}
 	}
 	r := request.New(s)
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -38,7 +38,7 @@
 	AcceptedAt    time.Time
 	Owner         string
 	PreviousOwner string // only set on the node that took the request over; neither sent nor journalled
-	Pieces        []string
+	Tokens        []string
 	Attempt       int
 	Outcome       stream.Outcome
 	Failure       string
@@ -48,7 +48,7 @@
 func New(s Spec) *Request {
 	r := &Request{
 		id: s.ID, workspace: s.Workspace, service: s.Service, body: s.Body, job: s.Job,
-		acceptedAt: s.AcceptedAt, owner: s.Owner, previousOwner: s.PreviousOwner, record: stream.Restore(s.ID, s.Pieces, s.Attempt),
+		acceptedAt: s.AcceptedAt, owner: s.Owner, previousOwner: s.PreviousOwner, record: stream.Restore(s.ID, s.Tokens, s.Attempt),
 	}
 	if s.Outcome != stream.OutcomeOpen {
 		r.record.Finish(s.Outcome, s.Failure, 0, s.AcceptedAt)
@@ -138,14 +138,14 @@
 	v := r.record.Read(0)
 	return Spec{
 		ID: r.id, Workspace: r.workspace, Service: r.service, Body: r.body, Job: r.job, AcceptedAt: r.acceptedAt,
-		Owner: r.Owner(), Pieces: v.Pieces, Attempt: r.record.Attempt(), Outcome: v.Outcome, Failure: v.Failure,
+		Owner: r.Owner(), Tokens: v.Tokens, Attempt: r.record.Attempt(), Outcome: v.Outcome, Failure: v.Failure,
 	}
 }
 
 // Wire returns the wire message of the spec.
 func (s *Spec) Wire() *wire.HeldRequest {
 	return &wire.HeldRequest{
-		Id: s.ID, Workspace: s.Workspace, Service: s.Service, Body: s.Body, Pieces: s.Pieces, Job: s.Job,
+		Id: s.ID, Workspace: s.Workspace, Service: s.Service, Body: s.Body, Pieces: s.Tokens, Job: s.Job,
 		Attempt: int32(s.Attempt), Outcome: string(s.Outcome), Failure: s.Failure,
 		AcceptedUnixMs: s.AcceptedAt.UnixMilli(), Owner: s.Owner,
 	}
@@ -154,7 +154,7 @@
 // FromWire returns the spec of a wire message.
 func FromWire(w *wire.HeldRequest) Spec {
 	return Spec{
-		ID: w.Id, Workspace: w.Workspace, Service: w.Service, Body: w.Body, Pieces: w.Pieces, Job: w.Job,
+		ID: w.Id, Workspace: w.Workspace, Service: w.Service, Body: w.Body, Tokens: w.Pieces, Job: w.Job,
 		Attempt: int(w.Attempt), Outcome: stream.Outcome(w.Outcome), Failure: w.Failure,
 		AcceptedAt: time.UnixMilli(w.AcceptedUnixMs), Owner: w.Owner,
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,7 +33,7 @@
 	RoutePolicy      string
 	CrossHallLatency time.Duration
 	ExchangeInterval time.Duration
-	Drain            time.Duration
+	DrainTimeout     time.Duration
 	LogLevel         string
 	AdminTokenHashes []string // SHA-256 in hex
 	CertFile         string
--- a/internal/stream/record.go
+++ b/internal/stream/record.go
@@ -82,9 +82,9 @@
 func NewRecord(id string) *Record { return &Record{id: id, changed: make(chan struct{})} }
 
 // Restore returns a record that continues from tokens generated elsewhere.
-func Restore(id string, pieces []string, attempt int) *Record {
+func Restore(id string, tokens []string, attempt int) *Record {
 	r := NewRecord(id)
-	r.tokens, r.attempt = append([]string(nil), pieces...), attempt
+	r.tokens, r.attempt = append([]string(nil), tokens...), attempt
 	return r
 }
 
@@ -147,7 +147,7 @@
 
 // View is the state of a record for a reader.
 type View struct {
-	Pieces     []string // from the requested offset
+	Tokens     []string // from the requested offset
 	Outcome    Outcome
 	Failure    string
 	RetryAfter time.Duration
@@ -164,7 +164,7 @@
 func (r *Record) viewLocked(from int) View {
 	v := View{Outcome: r.outcome, Failure: r.failure, RetryAfter: r.retryAfter, FinishedAt: r.finishedAt}
 	if from < len(r.tokens) {
-		v.Pieces = append(v.Pieces, r.tokens[from:]...)
+		v.Tokens = append(v.Tokens, r.tokens[from:]...)
 	}
 	return v
 }
@@ -176,7 +176,7 @@
 		r.mu.Lock()
 		v, c := r.viewLocked(from), r.changed
 		r.mu.Unlock()
-		if len(v.Pieces) > 0 || v.Outcome != OutcomeOpen {
+		if len(v.Tokens) > 0 || v.Outcome != OutcomeOpen {
 			return v, nil
 		}
 		select {
@@ -208,8 +208,8 @@
 	return strings.Join(r.tokens, "")
 }
 
-// Pieces returns the tokens so far.
-func (r *Record) Pieces() []string { return r.Read(0).Pieces }
+// Tokens returns the tokens so far.
+func (r *Record) Tokens() []string { return r.Read(0).Tokens }
 
 // AddReader counts a reader and returns the function to call when it leaves.
 func (r *Record) AddReader(now func() time.Time) func() {
