--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -238,15 +238,15 @@
 
 func (c *Catalog) addRoute(s RouteSpec) error {
 	if !strings.HasPrefix(s.Prefix, "/") || !strings.HasSuffix(s.Prefix, "/") {
-		return fault.Because(ErrInvalid, "route %q: prefix %q has to begin and end with a slash", s.Name, s.Prefix)
+		return fault.Because(ErrInvalid, "route %q: prefix %q must start and end with a slash", s.Name, s.Prefix)
 	}
 	if len(s.Services) == 0 {
-		return fault.Because(ErrInvalid, "route %q names no service", s.Name)
+		return fault.Because(ErrInvalid, "route %q has no services", s.Name)
 	}
 	r := &Route{spec: s}
 	for _, v := range s.Services {
 		if v.Weight < 0 {
-			return fault.Because(ErrInvalid, "route %q: service %q has the negative weight %d", s.Name, v.Service, v.Weight)
+			return fault.Because(ErrInvalid, "route %q: service %q has negative weight %d", s.Name, v.Service, v.Weight)
 		}
 		r.totalWeight += v.Weight
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -152,7 +152,7 @@
 	Parameters map[string]string `yaml:"parameters"`
 }
 
-// Document is the source text of one document.
+// Document is one document as the operator wrote it.
 type Document struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -31,7 +31,7 @@
 }
 
 // FuzzMessages decodes arbitrary bytes, as a faulty node or one of another version could send them, and applies
-// the result. Nothing may panic, and no decoded value may be invalid.
+// the result. Nothing may panic, and the decoded stages, loads and slots must be valid.
 func FuzzMessages(f *testing.F) {
 	seed := func(m proto.Message) {
 		b, err := proto.Marshal(m)
