--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -102,7 +102,7 @@
 	prompt.Batch = s.Class == config.ClassBatch
 	return &dispatch.Chat{
 		Record: r.Record(), Workspace: r.Workspace(), Service: s, Body: p.Fields, MaxTokens: n,
-		Prompt: prompt, Patient: r.Job(),
+		Prompt: prompt, RetryUntilDeadline: r.Job(),
 	}
 }
 
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -54,7 +54,7 @@
 	View       *config.View
 	Dispatcher *dispatch.Dispatcher
 	Registry   *request.Registry
-	Claims     *claim.Book
+	Claims     *claim.Manager
 	Ready      func() bool
 	// Start runs a request into its record.
 	Start func(r *request.Request)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -31,7 +31,7 @@
 func LoadsToWire(l []pool.Load) []*wire.Load {
 	r := make([]*wire.Load, len(l))
 	for i, v := range l {
-		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Held)}
+		r[i] = &wire.Load{Upstream: v.Upstream, Running: int32(v.Running), QueuedTokens: int64(v.Queued), HeldTokens: int64(v.Reserved)}
 	}
 	return r
 }
@@ -41,7 +41,7 @@
 	r := make([]pool.Load, len(l))
 	for i, v := range l {
 		r[i] = pool.Load{
-			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Held: float64(max(0, v.HeldTokens)),
+			Upstream: v.Upstream, Running: int(max(0, v.Running)), Queued: float64(max(0, v.QueuedTokens)), Reserved: float64(max(0, v.HeldTokens)),
 		}
 	}
 	return r
@@ -109,46 +109,46 @@
 // ReportFromWire converts a node's report to a relay.
 func ReportFromWire(r *wire.NodeReport) relay.Report {
 	return relay.Report{
-		Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: FromMillis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
+		Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: FromMillis(r.UptimeMs), Loads: LoadsFromWire(r.Loads),
 		Placed: PlacementsFromWire(r.Placed), Spent: SpentFromWire(r.Spent), Started: StartedFromWire(r.Started),
-		Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
+		Trials: TrialsFromWire(r.Trials), Reachability: ReachFromWire(r.Reach),
 	}
 }
 
 // ReachToWire converts the unreachable upstreams and the ages of the halls' last responses.
-func ReachToWire(r pool.Reach) *wire.Reach {
+func ReachToWire(r pool.Reachability) *wire.Reach {
 	m := &wire.Reach{}
-	for _, v := range r.Unreached {
-		m.Unreached = append(m.Unreached, &wire.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int32(v.Nodes), AgeMs: v.Age.Milliseconds(), Gone: v.Gone})
+	for _, v := range r.Unreachable {
+		m.Unreached = append(m.Unreached, &wire.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int32(v.Nodes), AgeMs: v.Age.Milliseconds(), Gone: v.Misplaced})
 	}
-	for h, age := range r.Answered {
+	for h, age := range r.LastResponse {
 		m.Answered = append(m.Answered, &wire.HallAnswered{Hall: h, AgeMs: age.Milliseconds()})
 	}
 	return m
 }
 
 // ReachFromWire is the inverse of ReachToWire.
-func ReachFromWire(m *wire.Reach) pool.Reach {
-	r := pool.Reach{Answered: make(map[string]time.Duration)}
+func ReachFromWire(m *wire.Reach) pool.Reachability {
+	r := pool.Reachability{LastResponse: make(map[string]time.Duration)}
 	for _, v := range m.GetUnreached() {
-		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: FromMillis(v.AgeMs), Gone: v.Gone})
+		r.Unreachable = append(r.Unreachable, pool.UnreachableUpstream{Upstream: v.Upstream, Born: v.Born, Nodes: int(v.Nodes), Age: FromMillis(v.AgeMs), Misplaced: v.Gone})
 	}
 	for _, v := range m.GetAnswered() {
-		r.Answered[v.Hall] = FromMillis(v.AgeMs)
+		r.LastResponse[v.Hall] = FromMillis(v.AgeMs)
 	}
 	return r
 }
 
 // TrialsToWire converts the state of roll-outs.
-func TrialsToWire(l []rollout.Word) []*wire.Trial {
+func TrialsToWire(l []rollout.Update) []*wire.Trial {
 	var r []*wire.Trial
 	for _, w := range l {
 		t := &wire.Trial{
-			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.Sign.Term, Beat: w.Sign.Beat, Stopped: w.Stopped,
+			Service: w.Service, Target: w.Target, Order: w.Order, Stage: int32(w.Stage), Term: w.KeepAlive.Term, Beat: w.KeepAlive.Sequence, Stopped: w.Stopped,
 		}
 		w.Tally.Cells(func(route string, group int, c *rollout.Cell) {
 			t.Cells = append(t.Cells, &wire.TrialCell{
-				Route: route, Group: int32(group), Answers: c.Answers, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
+				Route: route, Group: int32(group), Answers: c.Responses, Failed: c.Failed, First: c.First.Counts(), Pace: c.Pace.Counts(),
 			})
 		})
 		r = append(r, t)
@@ -157,19 +157,19 @@
 }
 
 // TrialsFromWire is the inverse of TrialsToWire. It ignores trials in unknown stages.
-func TrialsFromWire(l []*wire.Trial) []rollout.Word {
-	var r []rollout.Word
+func TrialsFromWire(l []*wire.Trial) []rollout.Update {
+	var r []rollout.Update
 	for _, t := range l {
 		if !rollout.Stage(t.Stage).Known() {
 			continue // from a node of another version: a stage unknown to this one can't be applied
 		}
-		w := rollout.Word{
-			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), Sign: rollout.Sign{Term: t.Term, Beat: t.Beat},
+		w := rollout.Update{
+			Service: t.Service, Target: t.Target, Order: t.Order, Stage: rollout.Stage(t.Stage), KeepAlive: rollout.KeepAlive{Term: t.Term, Sequence: t.Beat},
 			Stopped: t.Stopped, Tally: make(rollout.Tally),
 		}
 		for _, c := range t.Cells {
 			w.Tally.Set(c.Route, int(c.Group), rollout.Cell{
-				Answers: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
+				Responses: c.Answers, Failed: c.Failed, First: rollout.HistogramOf(c.First), Pace: rollout.HistogramOf(c.Pace),
 			})
 		}
 		r = append(r, w)
@@ -179,13 +179,13 @@
 
 // ShareToWire converts the combined load of some nodes at upstreams. The message doesn't state whether it is
 // complete; the receiver determines that.
-func ShareToWire(s pool.Share) *wire.Share {
+func ShareToWire(s pool.PeerLoad) *wire.Share {
 	return &wire.Share{AgeMs: s.Age.Milliseconds(), Loads: LoadsToWire(s.Loads)}
 }
 
 // ShareFromWire is the inverse of ShareToWire.
-func ShareFromWire(s *wire.Share) pool.Share {
-	return pool.Share{Age: FromMillis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
+func ShareFromWire(s *wire.Share) pool.PeerLoad {
+	return pool.PeerLoad{Age: FromMillis(s.GetAgeMs()), Loads: LoadsFromWire(s.GetLoads())}
 }
 
 // ChangesToWire converts a relay's changes of the state of its nodes.
@@ -193,8 +193,8 @@
 	r := make([]*wire.Change, len(l))
 	for i, c := range l {
 		r[i] = &wire.Change{
-			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, UptimeMs: c.Uptime.Milliseconds(), AgeMs: c.Age.Milliseconds(),
-			Relay: c.Relay, Silent: c.Silent, Spent: SpentToWire(c.Spent), Started: StartedToWire(c.Started),
+			Node: c.Node, Lifetime: c.Incarnation, Sequence: c.Sequence, UptimeMs: c.Uptime.Milliseconds(), AgeMs: c.Age.Milliseconds(),
+			Relay: c.Relay, Silent: c.Unresponsive, Spent: SpentToWire(c.Spent), Started: StartedToWire(c.Started),
 		}
 	}
 	return r
@@ -205,8 +205,8 @@
 	r := make([]relay.Change, len(l))
 	for i, c := range l {
 		r[i] = relay.Change{
-			Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence, Uptime: FromMillis(c.UptimeMs), Age: FromMillis(c.AgeMs),
-			Relay: c.Relay, Silent: c.Silent, Spent: SpentFromWire(c.Spent), Started: StartedFromWire(c.Started),
+			Node: c.Node, Incarnation: c.Lifetime, Sequence: c.Sequence, Uptime: FromMillis(c.UptimeMs), Age: FromMillis(c.AgeMs),
+			Relay: c.Relay, Unresponsive: c.Silent, Spent: SpentFromWire(c.Spent), Started: StartedFromWire(c.Started),
 		}
 	}
 	return r
@@ -215,7 +215,7 @@
 // GroupToWire converts a relay's message to another relay.
 func GroupToWire(g relay.Group) *wire.Group {
 	return &wire.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacementsToWire(g.Placed),
+		Relay: g.Relay, Lifetime: g.Incarnation, Version: g.Version, Share: ShareToWire(g.Share), Changes: ChangesToWire(g.Changes), Placed: PlacementsToWire(g.Placed),
 		Trials: TrialsToWire(g.Trials),
 	}
 }
@@ -223,14 +223,14 @@
 // GroupFromWire is the inverse of GroupToWire.
 func GroupFromWire(g *wire.Group) relay.Group {
 	return relay.Group{
-		Relay: g.Relay, Lifetime: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacementsFromWire(g.Placed),
+		Relay: g.Relay, Incarnation: g.Lifetime, Version: g.Version, Share: ShareFromWire(g.Share), Changes: ChangesFromWire(g.Changes), Placed: PlacementsFromWire(g.Placed),
 		Trials: TrialsFromWire(g.Trials),
 	}
 }
 
 // DigestToWire converts a relay's response to a node that reports to it.
 func DigestToWire(d relay.Digest) *wire.GatherResponse {
-	r := &wire.GatherResponse{Lifetime: d.Lifetime, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacementsToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reach)}
+	r := &wire.GatherResponse{Lifetime: d.Incarnation, Version: d.Version, Changes: ChangesToWire(d.Changes), Placed: PlacementsToWire(d.Placed), Trials: TrialsToWire(d.Trials), Reach: ReachToWire(d.Reachability)}
 	for _, s := range d.Shares {
 		r.Shares = append(r.Shares, ShareToWire(s))
 	}
@@ -243,7 +243,7 @@
 // DigestFromWire is the inverse of DigestToWire.
 func DigestFromWire(r *wire.GatherResponse) relay.Digest {
 	d := relay.Digest{
-		Lifetime: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacementsFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reach: ReachFromWire(r.Reach),
+		Incarnation: r.Lifetime, Version: r.Version, Changes: ChangesFromWire(r.Changes), Placed: PlacementsFromWire(r.Placed), Trials: TrialsFromWire(r.Trials), Reachability: ReachFromWire(r.Reach),
 		Relays: make(map[string]time.Duration, len(r.Relays)),
 	}
 	for _, s := range r.Shares {
@@ -260,7 +260,7 @@
 	e := v.Entry
 	return &wire.ListItem{
 		Id: e.ID, Service: e.Service, Address: e.Address, Hall: e.Hall, Slots: int32(e.Slots), Leaving: e.Leaving,
-		WarmUpMs: e.WarmUp.Milliseconds(), Reclaimable: e.Reclaimable, LeavesInMs: e.LeavesIn.Milliseconds(), Revision: v.Revision, Version: e.Version, Born: e.Born, Declared: e.Declared, Begun: e.Begun,
+		WarmUpMs: e.WarmUp.Milliseconds(), Reclaimable: e.Reclaimable, LeavesInMs: e.LeavesIn.Milliseconds(), Revision: v.Revision, Version: e.Version, Born: e.Born, Declared: e.Declared, Begun: e.StartRevision,
 	}
 }
 
@@ -277,24 +277,24 @@
 func ItemFromWire(v *wire.ListItem) pool.Item {
 	return pool.Item{Revision: v.Revision, Entry: pool.Entry{
 		ID: v.Id, Born: v.Born, Service: v.Service, Address: v.Address, Hall: v.Hall, Version: v.Version, Slots: int(max(0, v.Slots)), Leaving: v.Leaving,
-		WarmUp: FromMillis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: FromMillis(v.LeavesInMs), Declared: v.Declared, Begun: v.Begun,
+		WarmUp: FromMillis(v.WarmUpMs), Reclaimable: v.Reclaimable, LeavesIn: FromMillis(v.LeavesInMs), Declared: v.Declared, StartRevision: v.Begun,
 	}}
 }
 
 // LimitsToWire converts the rates that upstreams accept from all nodes together. Times become ages at now.
-func LimitsToWire(now time.Time, observations []limit.Word) []*wire.Limited {
+func LimitsToWire(now time.Time, observations []limit.Observation) []*wire.Limited {
 	list := make([]*wire.Limited, len(observations))
 	for i, w := range observations {
-		list[i] = &wire.Limited{Upstream: w.Of.ID, Born: w.Of.Born, Rate: w.Rate, Lifted: w.Lifted, AgeMs: now.Sub(w.At).Milliseconds()}
+		list[i] = &wire.Limited{Upstream: w.Upstream.ID, Born: w.Upstream.Born, Rate: w.Rate, Lifted: w.Lifted, AgeMs: now.Sub(w.At).Milliseconds()}
 	}
 	return list
 }
 
 // LimitsFromWire is the inverse of LimitsToWire.
-func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Word {
-	observations := make([]limit.Word, len(list))
+func LimitsFromWire(now time.Time, list []*wire.Limited) []limit.Observation {
+	observations := make([]limit.Observation, len(list))
 	for i, v := range list {
-		observations[i] = limit.Word{Of: retry.Lifetime{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-FromMillis(v.AgeMs))}
+		observations[i] = limit.Observation{Upstream: retry.Incarnation{ID: v.Upstream, Born: v.Born}, Rate: v.Rate, Lifted: v.Lifted, At: now.Add(-FromMillis(v.AgeMs))}
 	}
 	return observations
 }
--- a/internal/node/deadly_test.go
+++ b/internal/node/deadly_test.go
@@ -98,7 +98,7 @@
 
 // endedMost is how many upstreams one request may end: those that prove it, and those that it
 // had reached before all nodes knew.
-const endedMost = quarantine.Proof + 2
+const endedMost = quarantine.CrashThreshold + 2
 
 // TestChatThatEndsEnginesIsHeldBack: a caller repeats a chat under which each engine ends, at
 // one node after the other. The nodes tell each other, and after three ends none sends it.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -97,7 +97,7 @@
 
 func (n *Node) handOverOne(r *request.Request) {
 	var ids []string
-	byID := make(map[string]member.Seen)
+	byID := make(map[string]member.Record)
 	for _, f := range n.liveNodes() {
 		if f.ID != n.id {
 			ids = append(ids, f.ID)
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -133,12 +133,12 @@
 // delegate of another. Peers at random were measured: a pair that meets rarely has
 // almost the whole table to tell, and the bytes grew with the square of the fleet.
 // Now and then one random peer is taken all the same, to heal whatever a cut left.
-func (p *peers) choose(k int) []member.Seen {
+func (p *peers) choose(k int) []member.Record {
 	p.turn++
 	near, far := p.split()
 	if p.turn%strangerEvery == 0 && len(near)+len(far) > 0 {
-		all := append(append([]member.Seen(nil), near...), far...)
-		return []member.Seen{all[rand.IntN(len(all))]}
+		all := append(append([]member.Record(nil), near...), far...)
+		return []member.Record{all[rand.IntN(len(all))]}
 	}
 	list := ring(near, p.n.id, p.turn, k)
 	if p.n.first("delegate", delegates) || len(near) == 0 {
@@ -159,7 +159,7 @@
 )
 
 // split lists the other nodes of this hall and of the others.
-func (p *peers) split() (near, far []member.Seen) {
+func (p *peers) split() (near, far []member.Record) {
 	for _, f := range p.others() {
 		if f.Hall == p.n.o.Hall {
 			near = append(near, f)
@@ -171,17 +171,17 @@
 }
 
 // ring returns k of the peers at distances 1, 2, 4 ... behind id, in turn.
-func ring(near []member.Seen, id string, turn, k int) []member.Seen {
+func ring(near []member.Record, id string, turn, k int) []member.Record {
 	n := len(near)
 	start := sort.Search(n, func(i int) bool { return near[i].ID > id })
-	var list []member.Seen
+	var list []member.Record
 	for d := 1; d <= n; d *= 2 {
 		list = append(list, near[(start+d-1)%n])
 	}
 	if len(list) <= k {
 		return list
 	}
-	r := make([]member.Seen, 0, k)
+	r := make([]member.Record, 0, k)
 	for i := 0; i < k; i++ {
 		r = append(r, list[(turn*k+i)%len(list)])
 	}
@@ -189,14 +189,14 @@
 }
 
 // delegatesOf returns the delegates of each other hall.
-func (p *peers) delegatesOf(far []member.Seen) []member.Seen {
+func (p *peers) delegatesOf(far []member.Record) []member.Record {
 	halls := make(map[string][]string)
-	byID := make(map[string]member.Seen, len(far))
+	byID := make(map[string]member.Record, len(far))
 	for _, f := range far {
 		halls[f.Hall] = append(halls[f.Hall], f.ID)
 		byID[f.ID] = f
 	}
-	var r []member.Seen
+	var r []member.Record
 	for _, ids := range halls {
 		for i, id := range route.Rank("delegate", ids) {
 			if i < delegates {
@@ -209,9 +209,9 @@
 
 // others returns the nodes that may be reached: also silent ones, for a while, since
 // a cut may end.
-func (p *peers) others() []member.Seen {
+func (p *peers) others() []member.Record {
 	now := p.n.clock.Now()
-	return p.n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
+	return p.n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
 		return f.Kind == member.KindNode && f.Status != member.StatusGone && f.ID != p.n.id && now.Sub(at) < forgetSilent
 	})
 }
@@ -252,7 +252,7 @@
 	sent, have := v.sent, v.have
 	p.mu.Unlock()
 	f, known := p.n.table.Get(id)
-	facts, position := p.n.table.Since(member.Peer{ID: id, Sent: sent, Far: known && f.Hall != p.n.o.Hall}, factsPerMessage)
+	facts, position := p.n.table.Since(member.Peer{ID: id, Sent: sent, OtherHall: known && f.Hall != p.n.o.Hall}, factsPerMessage)
 	x, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	r, err := v.client.Exchange(x, connect.NewRequest(&wire.ExchangeRequest{
@@ -262,7 +262,7 @@
 		return
 	}
 	missing := p.observe(id, r.Msg.Facts)
-	p.n.dispatcher.Hear(r.Msg.Suspicions)
+	p.n.dispatcher.ApplySuspicions(r.Msg.Suspicions)
 	p.mu.Lock()
 	v.sent, v.have, v.up, v.heard = position, r.Msg.Position, r.Msg.PlatformUp, p.n.clock.Now()
 	if missing {
@@ -313,8 +313,8 @@
 // answer is the other side of an exchange.
 func (p *peers) answer(q *wire.ExchangeRequest) *wire.ExchangeResponse {
 	missing := p.observe(q.From, q.Facts)
-	p.n.dispatcher.Hear(q.Suspicions)
-	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, Far: q.Hall != p.n.o.Hall}, factsPerMessage)
+	p.n.dispatcher.ApplySuspicions(q.Suspicions)
+	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, OtherHall: q.Hall != p.n.o.Hall}, factsPerMessage)
 	f, ok := p.n.table.Get(q.From)
 	if ok {
 		v := p.get(q.From, f.Address)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,7 @@
 	table          *member.Table
 	view           *config.View
 	store          *config.Store
-	claims         *claim.Book
+	claims         *claim.Manager
 	journal        *job.Journal
 	registry       *request.Registry
 	dispatcher     *dispatch.Dispatcher
@@ -87,7 +87,7 @@
 	listed         map[string]bool
 	open           map[string]string // open jobs of the journal and their owners, if followed
 	sequence       uint64
-	live           []member.Seen // see liveNodes
+	live           []member.Record // see liveNodes
 	liveAt         time.Time
 	liveNodesKnown uint64
 	paced          atomic.Pointer[pace]
@@ -113,11 +113,11 @@
 	n.dispatcher = dispatch.New(dispatch.Options{
 		Node: id, Hall: o.Hall, Clock: o.Clock, Client: n.client, Table: n.table, Policy: o.Policy, Distance: o.CrossHall,
 		Nodes: func() int { return len(n.liveNodes()) },
-		Event: n.log.Add, Urgent: n.peers.kick, Reaches: n.peers.reaches,
+		Event: n.log.Add, ExchangeSoon: n.peers.kick, HallReachable: n.peers.reaches,
 	})
-	n.claims = claim.NewBook(claim.Options{
+	n.claims = claim.NewManager(claim.Options{
 		Member: claim.Member{ID: id, Hall: o.Hall, Address: o.PeerAddress, VM: o.VM}, KV: n.kv, Up: n.guard.Up,
-		PeerUp: n.peers.anyUp, Clock: o.Clock, Send: n.peers.sendClaim, Behalf: n.peers.claimBehalf, EraseBehalf: n.peers.eraseBehalf,
+		PeerUp: n.peers.anyUp, Clock: o.Clock, Send: n.peers.sendClaim, ProxyWrite: n.peers.claimBehalf, ProxyErase: n.peers.eraseBehalf,
 		Event:    func(name, detail string) { n.log.Add(name, "", detail) },
 		Interval: claimInterval, Timeout: promiseTimeout,
 	})
@@ -172,7 +172,7 @@
 func (n *Node) Registry() *request.Registry { return n.registry }
 
 // Claims returns the node's claims.
-func (n *Node) Claims() *claim.Book { return n.claims }
+func (n *Node) Claims() *claim.Manager { return n.claims }
 
 // Clock returns the node's clock.
 func (n *Node) Clock() *timer.Service { return n.clock }
@@ -273,22 +273,22 @@
 	exchangesSilent = 8
 )
 
-func (n *Node) liveNodes() []member.Seen {
+func (n *Node) liveNodes() []member.Record {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.live != nil && now.Sub(n.liveAt) < liveFor && n.table.Nodes() == n.liveNodesKnown {
+	if n.live != nil && now.Sub(n.liveAt) < liveFor && n.table.NodesVersion() == n.liveNodesKnown {
 		return n.live
 	}
 	near := n.silentAfter()
-	n.live = n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
+	n.live = n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
 		limit := near
 		if f.Hall != n.o.Hall {
 			limit += 2 * n.pace().slow
 		}
 		return f.Kind == member.KindNode && f.Status == member.StatusLive && (f.ID == n.id || now.Sub(at) < limit)
 	})
-	n.liveAt, n.liveNodesKnown = now, n.table.Nodes()
+	n.liveAt, n.liveNodesKnown = now, n.table.NodesVersion()
 	return n.live
 }
 
@@ -341,7 +341,7 @@
 	n.log.Add("vm_"+now.Status.String(), "", now.ID)
 	n.peers.kick()
 	if now.Kind == member.KindUpstream {
-		go n.dispatcher.Leaving(n.ctx, now, n.noticeLeft(&now))
+		go n.dispatcher.MoveStreams(n.ctx, now, n.noticeLeft(&now))
 	}
 }
 
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -89,7 +89,7 @@
 	})
 	v := paceOf(hall, upstreams, all)
 	n.paced.Store(&v)
-	n.table.SetSlow(v.slow)
+	n.table.SetSlowInterval(v.slow)
 }
 
 // shareBudget divides the platform's rate among the live nodes, and sets the pace.
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -75,7 +75,7 @@
 func (s *scaler) pool(ctx context.Context, pool string, offers []store.Offer) {
 	v := s.pools[pool]
 	if v == nil {
-		v = &poolScale{planner: autoscale.New(autoscale.Defaults()), seen: make(map[string]bool)}
+		v = &poolScale{planner: autoscale.New(autoscale.DefaultOptions()), seen: make(map[string]bool)}
 		s.pools[pool] = v
 	}
 	vms := s.look(pool, v)
@@ -123,7 +123,7 @@
 		return
 	}
 	if o.Stop != "" {
-		s.n.log.Add("vm_stop_ordered", "", o.Stop+": "+o.Why)
+		s.n.log.Add("vm_stop_ordered", "", o.Stop+": "+o.Reason)
 		_ = s.n.o.Cloud.Stop(ctx, o.Stop, token)
 		return
 	}
@@ -138,6 +138,6 @@
 		v.planner.Refused(now, *f)
 		return
 	}
-	s.n.log.Add("vm_start_ordered", "", fmt.Sprintf("%s in %s: %s", f.Class, f.Zone, o.Why))
+	s.n.log.Add("vm_start_ordered", "", fmt.Sprintf("%s in %s: %s", f.Class, f.Zone, o.Reason))
 	v.planner.Accepted(now, *f)
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -50,7 +50,7 @@
 	if r.Job() {
 		c.Deadline = n.clock.Now().Add(jobDeadline)
 	}
-	c.Moved = r.Moved
+	c.TakenOver = r.Moved
 	n.dispatcher.Chat(ctx, c)
 	ended()
 	if r.Moved() && r.Record().Read(0).Outcome == stream.OutcomeOpen {
@@ -125,8 +125,8 @@
 
 // holders lists the other live nodes in the order in which they hold a request,
 // those of other halls first.
-func (n *Node) holders(id string) []member.Seen {
-	byID := make(map[string]member.Seen)
+func (n *Node) holders(id string) []member.Record {
+	byID := make(map[string]member.Record)
 	var far, near []string
 	for _, f := range n.liveNodes() {
 		if f.ID == n.id {
@@ -139,7 +139,7 @@
 			near = append(near, f.ID)
 		}
 	}
-	var r []member.Seen
+	var r []member.Record
 	for _, id := range append(route.Rank(id, far), route.Rank(id, near)...) {
 		r = append(r, byID[id])
 	}
@@ -189,15 +189,15 @@
 }
 
 // likely lists the nodes that may have a request, the likeliest first.
-func (n *Node) likely(id string) []member.Seen {
-	var r []member.Seen
+func (n *Node) likely(id string) []member.Record {
+	var r []member.Record
 	owner := ingress.OwnerOf(id)
-	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.silenceOf(&f.Fact) {
+	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.ReceivedAt) < n.silenceOf(&f.Fact) {
 		r = append(r, f)
 	}
 	// A request is handed over by rank, near and far alike, so the order here must
 	// not depend on this node's own hall.
-	byID := make(map[string]member.Seen)
+	byID := make(map[string]member.Record)
 	var ids []string
 	for _, f := range n.liveNodes() {
 		if f.ID != owner && f.ID != n.id {
@@ -363,7 +363,7 @@
 	if !ok || f.Status == member.StatusGone {
 		return true
 	}
-	return n.clock.Since(f.At) > orphanAfter+n.silentAfter() && !n.answers(&f.Fact)
+	return n.clock.Since(f.ReceivedAt) > orphanAfter+n.silentAfter() && !n.answers(&f.Fact)
 }
 
 // answers asks a node directly: one of another hall is heard of so seldom that its
