--- a/cmd/spurhalld/main.go
+++ b/cmd/spurhalld/main.go
@@ -128,7 +128,7 @@
 	n := node.New(node.Options{
 		VM: s.VM, Hall: s.Hall, Zone: s.Zone, PeerAddress: s.Peers, Seeds: s.Seeds, Clock: clock, Log: log,
 		KV: store.NewGateway(s.Platform, platformTimeout, clock).KV(), Cloud: store.NewCloud(s.Platform, platformTimeout),
-		PlatformRate: s.PlatformRate, Policy: route.Policy(s.Policy), CrossHall: s.CrossHall, Exchange: s.Exchange,
+		PlatformRate: s.PlatformRate, Policy: route.Policy(s.Policy), CrossHallLatency: s.CrossHall, ExchangeInterval: s.Exchange,
 		PeerTransport: sec.transport, PeerScheme: sec.scheme, Autoscale: s.Autoscale,
 	})
 	stop := make(chan os.Signal, 2)
@@ -149,8 +149,8 @@
 		tls     *tls.Config
 		handler http.Handler
 	}{
-		{s.Peers, sec.peers, n.Peers()},
-		{s.Callers, sec.callers, n.Callers()},
+		{s.Peers, sec.peers, n.PeerHandler()},
+		{s.Callers, sec.callers, n.CallerHandler()},
 		{s.Admin, sec.callers, admin.Handler(admin.Options{Node: n, TokenHashes: s.AdminTokens, Drain: drain})},
 	}
 	var open []*http.Server
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -92,7 +92,7 @@
 
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c, stop := p.n.clock.After(p.n.o.Exchange)
+		c, stop := p.n.clock.After(p.n.o.ExchangeInterval)
 		k := peersPerExchange
 		select {
 		case <-c:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,22 +41,22 @@
 
 // Options sets a node.
 type Options struct {
-	VM            string // the VM's id in the VM list
-	Hall          string
-	Zone          string
-	PeerAddress   string
-	Seeds         []string
-	Clock         *timer.Service
-	Log           *zap.Logger
-	KV            store.KV
-	Cloud         store.Cloud
-	PlatformRate  float64 // calls a second that the platform takes in all
-	Policy        route.Policy
-	CrossHall     time.Duration
-	Exchange      time.Duration // between two exchanges
-	PeerTransport http.RoundTripper
-	PeerScheme    string
-	Autoscale     bool // take part in leading this hall's VM orders
+	VM               string // the VM's id in the VM list
+	Hall             string
+	Zone             string
+	PeerAddress      string
+	Seeds            []string
+	Clock            *timer.Service
+	Log              *zap.Logger
+	KV               store.KV
+	Cloud            store.Cloud
+	PlatformRate     float64 // calls a second that the platform takes in all
+	Policy           route.Policy
+	CrossHallLatency time.Duration
+	ExchangeInterval time.Duration // between two exchanges
+	PeerTransport    http.RoundTripper
+	PeerScheme       string
+	Autoscale        bool // take part in leading this hall's VM orders
 	// Blocked cuts this node off from a peer address, for tests of a cut network.
 	Blocked func(address string) bool
 }
@@ -111,7 +111,7 @@
 	n.table = member.NewTable(n.onFact)
 	n.peers = newPeers(n)
 	n.dispatcher = dispatch.New(dispatch.Options{
-		Node: id, Hall: o.Hall, Clock: o.Clock, Client: n.client, Table: n.table, Policy: o.Policy, Distance: o.CrossHall,
+		Node: id, Hall: o.Hall, Clock: o.Clock, Client: n.client, Table: n.table, Policy: o.Policy, Distance: o.CrossHallLatency,
 		Nodes: func() int { return len(n.liveNodes()) },
 		Event: n.log.Add, Urgent: n.peers.kick, Reaches: n.peers.reaches,
 	})
@@ -180,8 +180,8 @@
 // PlatformUp tells whether the platform answered lately.
 func (n *Node) PlatformUp() bool { return n.guard.Up() }
 
-// Callers returns the callers' interface.
-func (n *Node) Callers() http.Handler { return n.ingress.Handler() }
+// CallerHandler returns the callers' interface.
+func (n *Node) CallerHandler() http.Handler { return n.ingress.Handler() }
 
 // Dispatcher returns the pools.
 func (n *Node) Dispatcher() *dispatch.Dispatcher { return n.dispatcher }
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -42,8 +42,8 @@
 // silentAfter is how long a node may be silent before the others take over its
 // duties. It isn't taken for gone: only the platform can say that.
 func (n *Node) silentAfter() time.Duration {
-	beat := time.Duration(n.pace().heartbeat) * n.o.Exchange
-	return max(leastSilence, exchangesSilent*n.o.Exchange, 3*beat)
+	beat := time.Duration(n.pace().heartbeat) * n.o.ExchangeInterval
+	return max(leastSilence, exchangesSilent*n.o.ExchangeInterval, 3*beat)
 }
 
 // pace is how often what changes all the time is told: the more there are to tell of,
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -16,8 +16,8 @@
 // peerService is what peers may ask of this node.
 type peerService struct{ n *Node }
 
-// Peers returns the peers' interface.
-func (n *Node) Peers() http.Handler {
+// PeerHandler returns the peers' interface.
+func (n *Node) PeerHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(wireconnect.NewPeerHandler(&peerService{n}))
 	return m
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -163,16 +163,16 @@
 	o := Options{
 		VM: vm, Hall: hall, Zone: hall, PeerAddress: peer.Addr().String(), Seeds: seeds, Clock: timer.Real(), Log: zap.NewNop(),
 		KV: n.cuttable(g.KV()), Cloud: n.cuttableCloud(store.NewCloud(r.server.URL, 500*time.Millisecond)),
-		PlatformRate: 5000, Exchange: r.exchange, PeerTransport: r.peers, PeerScheme: "http",
+		PlatformRate: 5000, ExchangeInterval: r.exchange, PeerTransport: r.peers, PeerScheme: "http",
 		Blocked: func(a string) bool { _, ok := n.cut.Load(a); return ok },
 	}
 	r.options(&o)
 	n.Node = New(o)
-	p := httptest.NewUnstartedServer(n.Peers())
+	p := httptest.NewUnstartedServer(n.PeerHandler())
 	_ = p.Listener.Close()
 	p.Listener = peer
 	p.Start()
-	c := httptest.NewServer(n.Callers())
+	c := httptest.NewServer(n.CallerHandler())
 	n.servers, n.callers = []*httptest.Server{p, c}, c.Listener.Addr().String()
 	n.Start()
 	r.nodes = append(r.nodes, n)
--- a/internal/node/speed_test.go
+++ b/internal/node/speed_test.go
@@ -103,7 +103,7 @@
 }
 
 func sixNodes(b *testing.B) *rig {
-	return newRigWith(b, func(o *Options) { o.Exchange = time.Second }, "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c")
+	return newRigWith(b, func(o *Options) { o.ExchangeInterval = time.Second }, "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c")
 }
 
 // BenchmarkLeaving: from the notice until every node knows, with the VM list 30 s
