--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -25,7 +25,7 @@
 
 // Exchange swaps facts.
 func (s *peerService) Exchange(_ context.Context, r *connect.Request[wire.ExchangeRequest]) (*connect.Response[wire.ExchangeResponse], error) {
-	return connect.NewResponse(s.n.peers.answer(r.Msg)), nil
+	return connect.NewResponse(s.n.peers.handleExchange(r.Msg)), nil
 }
 
 // PullConfig gives the configuration in force, if it is newer than what the peer
@@ -65,7 +65,7 @@
 	if r.Msg.Request == nil || r.Msg.Request.Id == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errNoRequest)
 	}
-	if !s.n.life.Is("ready") {
+	if !s.n.lifecycle.Is("ready") {
 		return nil, connect.NewError(connect.CodeUnavailable, errNotReady)
 	}
 	v := request.FromWire(r.Msg.Request)
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -23,18 +23,18 @@
 	leaderKey  = "/spurhall/halls/%s/leader"
 	scaleEvery = 2 * time.Second
 	demandGain = 0.2
-	// leaderTries is how many nodes of a hall try to lead it, so that the tries don't
+	// leaderCandidates is how many nodes of a hall try to lead it, so that the tries don't
 	// grow with the fleet.
-	leaderTries = 2
+	leaderCandidates = 2
 )
 
 // scaler is the leader's state. It starts anew with each term.
 type scaler struct {
-	n      *Node
-	lease  *lease.Lease
-	pools  map[string]*poolScale
-	serial int
-	begun  time.Time
+	n         *Node
+	lease     *lease.Lease
+	pools     map[string]*poolScale
+	serial    int
+	startedAt time.Time
 }
 
 type poolScale struct {
@@ -45,12 +45,12 @@
 
 func (n *Node) scale(ctx context.Context) {
 	l := lease.New(n.kv, n.clock, fmt.Sprintf(leaderKey, n.o.Hall), n.id, leaderTTL)
-	n.duty(func(ctx context.Context) {
-		l.Run(ctx, func() bool { return n.life.Is("ready") && n.first("leader", leaderTries) })
+	n.startDuty(func(ctx context.Context) {
+		l.Run(ctx, func() bool { return n.lifecycle.Is("ready") && n.hasDuty("leader", leaderCandidates) })
 	})
-	s := &scaler{n: n, lease: l, pools: make(map[string]*poolScale), begun: n.clock.Now()}
+	s := &scaler{n: n, lease: l, pools: make(map[string]*poolScale), startedAt: n.clock.Now()}
 	n.clock.Every(ctx, scaleEvery, func(time.Time) {
-		if _, ok := l.Token(); !ok || n.life.Is("draining") {
+		if _, ok := l.Token(); !ok || n.lifecycle.Is("draining") {
 			s.pools = make(map[string]*poolScale)
 			return
 		}
@@ -67,33 +67,33 @@
 	}
 	for pool, p := range s.n.view.Pools() {
 		if p == config.ProtocolChat {
-			s.pool(x, pool, offers)
+			s.planPool(x, pool, offers)
 		}
 	}
 }
 
-func (s *scaler) pool(ctx context.Context, pool string, offers []store.Offer) {
+func (s *scaler) planPool(ctx context.Context, pool string, offers []store.Offer) {
 	v := s.pools[pool]
 	if v == nil {
 		v = &poolScale{planner: autoscale.New(autoscale.Defaults()), seen: make(map[string]bool)}
 		s.pools[pool] = v
 	}
-	vms := s.look(pool, v)
+	vms := s.observePool(pool, v)
 	var list []autoscale.Offer
 	for _, f := range offers {
 		if f.Service == pool && f.Hall == s.n.o.Hall {
 			list = append(list, autoscale.Offer{Zone: f.Zone, Class: f.Class, Reclaimable: f.Reclaimable, Price: f.Price, Slots: f.Slots, ReclaimRate: f.ReclaimRate})
 		}
 	}
-	now := s.n.clock.Since(s.begun)
+	now := s.n.clock.Since(s.startedAt)
 	for _, o := range v.planner.Plan(now, vms, list, v.demand) {
-		s.give(ctx, pool, v, now, o)
+		s.placeOrder(ctx, pool, v, now, o)
 	}
 }
 
-// look returns the pool's live VMs in this hall, and brings its demand up to date:
+// observePool returns the pool's live VMs in this hall, and brings its demand up to date:
 // what runs counts as live work, what waits as batch, which can wait for a VM.
-func (s *scaler) look(pool string, v *poolScale) []autoscale.VM {
+func (s *scaler) observePool(pool string, v *poolScale) []autoscale.VM {
 	facts := s.n.table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Service == pool && f.Hall == s.n.o.Hall && f.Status == member.StatusLive
 	})
@@ -115,9 +115,9 @@
 	return vms
 }
 
-// give gives one order. A start without an answer counts as accepted: its id is
+// placeOrder gives one order. A start without an answer counts as accepted: its id is
 // unique, and if it was lost the next plan asks again when it is overdue.
-func (s *scaler) give(ctx context.Context, pool string, v *poolScale, now time.Duration, o autoscale.Order) {
+func (s *scaler) placeOrder(ctx context.Context, pool string, v *poolScale, now time.Duration, o autoscale.Order) {
 	token, ok := s.lease.Token()
 	if !ok {
 		return
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -57,7 +57,7 @@
 		return
 	}
 	if r.Job() {
-		n.journalAnswer(r)
+		n.journalResponse(r)
 	}
 	v := r.Record().Read(0)
 	ingress.Outcomes.Add(string(v.Outcome), 1)
@@ -67,10 +67,10 @@
 // jobDeadline is how long an accepted job is tried.
 const jobDeadline = 24 * time.Hour
 
-const journalAgain = 500 * time.Millisecond
+const journalRetryInterval = 500 * time.Millisecond
 
-// journalAnswer writes a job's answer down, however long the platform is out.
-func (n *Node) journalAnswer(r *request.Request) {
+// journalResponse writes a job's answer down, however long the platform is out.
+func (n *Node) journalResponse(r *request.Request) {
 	for n.ctx.Err() == nil {
 		err := n.journal.Finish(n.ctx, r.Spec(), func(owner string) bool {
 			return owner == n.id || owner == r.From() || n.ownerGone(owner)
@@ -84,7 +84,7 @@
 			n.log.Add("job_superseded", r.ID(), "another node's answer stands")
 			return
 		}
-		_ = n.clock.Sleep(n.ctx, journalAgain)
+		_ = n.clock.Sleep(n.ctx, journalRetryInterval)
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	n.log.Add("job_not_journalled", r.ID(), err.Error())
 	uncertain := errors.Is(err, job.ErrUncertain)
-	for _, f := range n.holders(r.ID()) {
+	for _, f := range n.holderCandidates(r.ID()) {
 		if n.hold(ctx, f.Fact, r.Spec(), true) == nil {
 			if f.Hall != n.o.Hall {
 				return "peer-other-hall", nil
@@ -123,9 +123,9 @@
 
 const acceptTimeout = 2 * time.Second
 
-// holders lists the other live nodes in the order in which they hold a request,
+// holderCandidates lists the other live nodes in the order in which they hold a request,
 // those of other halls first.
-func (n *Node) holders(id string) []member.Seen {
+func (n *Node) holderCandidates(id string) []member.Seen {
 	byID := make(map[string]member.Seen)
 	var far, near []string
 	for _, f := range n.liveNodes() {
@@ -148,7 +148,7 @@
 
 func (n *Node) hold(ctx context.Context, f member.Fact, s request.Spec, copyOnly bool) error {
 	if n.peers.blocked(f.Address) {
-		return errCut
+		return errBlocked
 	}
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -158,8 +158,8 @@
 
 // dropCopies tells the holders that a job is over.
 func (n *Node) dropCopies(id string) {
-	for i, f := range n.holders(id) {
-		if i == findPeers {
+	for i, f := range n.holderCandidates(id) {
+		if i == maxFindPeers {
 			return
 		}
 		x, cancel := context.WithTimeout(n.ctx, callTimeout)
@@ -168,13 +168,13 @@
 	}
 }
 
-// findPeers is how many nodes are asked for a request, after its first owner.
-const findPeers = 3
+// maxFindPeers is how many nodes are asked for a request, after its first owner.
+const maxFindPeers = 3
 
 // find looks for a request that isn't held here: at the node that named it, at those
 // that it would have been handed to, and in the journal.
 func (n *Node) find(ctx context.Context, id, workspace string) *request.Request {
-	for _, f := range n.likely(id) {
+	for _, f := range n.likelyHolders(id) {
 		if r := n.findAt(ctx, f.Fact, id, workspace); r != nil {
 			return r
 		}
@@ -188,11 +188,11 @@
 	return request.New(s)
 }
 
-// likely lists the nodes that may have a request, the likeliest first.
-func (n *Node) likely(id string) []member.Seen {
+// likelyHolders lists the nodes that may have a request, the likeliest first.
+func (n *Node) likelyHolders(id string) []member.Seen {
 	var r []member.Seen
 	owner := ingress.OwnerOf(id)
-	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.silenceOf(&f.Fact) {
+	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.peerTimeout(&f.Fact) {
 		r = append(r, f)
 	}
 	// A request is handed over by rank, near and far alike, so the order here must
@@ -206,7 +206,7 @@
 		}
 	}
 	for i, v := range route.Rank(id, ids) {
-		if i == findPeers {
+		if i == maxFindPeers {
 			break
 		}
 		r = append(r, byID[v])
@@ -236,16 +236,16 @@
 // follow copies an answer that grows on another node into a record here. When that
 // node goes away the request is looked for again, until its deadline.
 func (n *Node) follow(r *request.Request, f member.Fact) {
-	ctx, cancel := context.WithTimeout(n.ctx, followLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, followTimeout)
 	defer cancel()
 	for ctx.Err() == nil && r.Record().Read(0).Outcome == stream.OutcomeOpen {
 		n.followOnce(ctx, r, f)
 		if r.Record().Read(0).Outcome != stream.OutcomeOpen {
 			return
 		}
-		_ = n.clock.Sleep(ctx, followPause)
-		for _, o := range n.likely(r.ID()) {
-			if n.knows(ctx, o.Fact, r) {
+		_ = n.clock.Sleep(ctx, followRetryInterval)
+		for _, o := range n.likelyHolders(r.ID()) {
+			if n.hasRequest(ctx, o.Fact, r) {
 				f = o.Fact
 				break
 			}
@@ -254,11 +254,11 @@
 }
 
 const (
-	followLimit = 10 * time.Minute
-	followPause = 200 * time.Millisecond
+	followTimeout       = 10 * time.Minute
+	followRetryInterval = 200 * time.Millisecond
 )
 
-func (n *Node) knows(ctx context.Context, f member.Fact, r *request.Request) bool {
+func (n *Node) hasRequest(ctx context.Context, f member.Fact, r *request.Request) bool {
 	if n.peers.blocked(f.Address) {
 		return false
 	}
@@ -290,7 +290,7 @@
 }
 
 const (
-	jobsEvery = 2 * time.Second
+	jobPollInterval = 2 * time.Second
 	// orphanAfter is how long the owner of a job must have been silent before another
 	// node takes the job over. Too early costs tokens, never a second answer.
 	orphanAfter = 3 * time.Second
@@ -301,10 +301,10 @@
 // compare-and-swap settles who of several takes a job. Copies held for a peer are
 // looked after by their holder.
 func (n *Node) watchJobs(ctx context.Context) {
-	n.duty(n.followJournal)
-	n.clock.Every(ctx, jobsEvery, func(time.Time) {
+	n.startDuty(n.followJournal)
+	n.clock.Every(ctx, jobPollInterval, func(time.Time) {
 		n.runOrphanCopies()
-		if n.life.Is("ready") {
+		if n.lifecycle.Is("ready") {
 			n.takeOverJobs(ctx)
 		}
 	})
@@ -313,34 +313,34 @@
 // followJournal keeps the owners of the open jobs, while this node is the one of its
 // hall to do so.
 func (n *Node) followJournal(ctx context.Context) {
-	for n.clock.Sleep(ctx, jobsEvery) == nil {
-		if !n.first("jobs", 1) {
+	for n.clock.Sleep(ctx, jobPollInterval) == nil {
+		if !n.hasDuty("jobs", 1) {
 			continue
 		}
 		x, cancel := context.WithCancel(ctx)
-		n.duty(func(context.Context) { n.yield(x, "jobs", cancel) })
-		_ = n.journal.Follow(x, n.noteJob)
+		n.startDuty(func(context.Context) { n.cancelOnDutyLoss(x, "jobs", cancel) })
+		_ = n.journal.Follow(x, n.recordJob)
 		cancel()
 		n.mu.Lock()
-		n.open = make(map[string]string)
+		n.openJobs = make(map[string]string)
 		n.mu.Unlock()
 	}
 }
 
-func (n *Node) noteJob(e job.Entry) {
+func (n *Node) recordJob(e job.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !e.Open {
-		delete(n.open, e.ID)
+		delete(n.openJobs, e.ID)
 		return
 	}
-	n.open[e.ID] = e.Owner
+	n.openJobs[e.ID] = e.Owner
 }
 
-func (n *Node) orphans() []string {
+func (n *Node) orphanedJobs() []string {
 	n.mu.Lock()
 	owners := make(map[string][]string)
-	for id, owner := range n.open {
+	for id, owner := range n.openJobs {
 		if owner != n.id {
 			owners[owner] = append(owners[owner], id)
 		}
@@ -363,12 +363,12 @@
 	if !ok || f.Status == member.StatusGone {
 		return true
 	}
-	return n.clock.Since(f.At) > orphanAfter+n.silentAfter() && !n.answers(&f.Fact)
+	return n.clock.Since(f.At) > orphanAfter+n.hallTimeout() && !n.responds(&f.Fact)
 }
 
-// answers asks a node directly: one of another hall is heard of so seldom that its
+// responds asks a node directly: one of another hall is heard of so seldom that its
 // silence alone says little.
-func (n *Node) answers(f *member.Fact) bool {
+func (n *Node) responds(f *member.Fact) bool {
 	if n.peers.blocked(f.Address) {
 		return false
 	}
@@ -378,17 +378,17 @@
 	return err == nil
 }
 
-// silenceOf is how long another node may be silent before it counts as gone for
+// peerTimeout is how long another node may be silent before it counts as gone for
 // serving.
-func (n *Node) silenceOf(f *member.Fact) time.Duration {
+func (n *Node) peerTimeout(f *member.Fact) time.Duration {
 	if f.Hall != n.o.Hall {
-		return n.silentAfter() + 2*n.pace().slow
+		return n.hallTimeout() + 2*n.currentIntervals().crossHallInterval
 	}
-	return n.silentAfter()
+	return n.hallTimeout()
 }
 
 func (n *Node) takeOverJobs(ctx context.Context) {
-	for _, id := range n.orphans() {
+	for _, id := range n.orphanedJobs() {
 		s, revision, err := n.journal.Get(ctx, id)
 		if err != nil || revision == 0 || s.Outcome != stream.OutcomeOpen || s.Owner == n.id {
 			continue
