--- a/internal/node/behalf.go
+++ b/internal/node/behalf.go
@@ -10,9 +10,10 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file asks peers that have the platform to write and erase claims for this node, which is cut off from it.
+// This file asks peers that reach the platform to write and erase claims for this node while it cannot reach
+// the platform itself.
 
-// claimByProxy asks a peer that has the platform to claim for this node.
+// claimByProxy asks peers that reach the platform to write a claim for this node.
 func (p *peers) claimByProxy(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (claim.WriteResult, int64) {
 	for i, v := range p.peersWithPlatform() {
 		if i == maxProxyPeers {
@@ -32,7 +33,7 @@
 
 const maxProxyPeers = 2
 
-// eraseByProxy asks a peer that has the platform to erase a claim of this node's.
+// eraseByProxy asks peers that reach the platform to erase a claim of this node.
 func (p *peers) eraseByProxy(ctx context.Context, key uint64, attempt string) bool {
 	for i, v := range p.peersWithPlatform() {
 		if i == maxProxyPeers {
--- a/internal/node/complete_test.go
+++ b/internal/node/complete_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-// liveStream is a stream that a test reads as it comes.
+// liveStream is a stream that a test reads while it is produced.
 type liveStream struct {
 	a    *http.Response
 	s    *bufio.Scanner
@@ -41,7 +41,7 @@
 	return &liveStream{a: a, s: bufio.NewScanner(a.Body)}
 }
 
-// read takes up to n tokens, or all if n is 0, and tells whether the end came.
+// read reads up to n tokens, or all if n is 0, and reports whether the stream has ended.
 func (l *liveStream) read(n int) bool {
 	for k := 0; (n == 0 || k < n) && l.s.Scan(); {
 		line := l.s.Text()
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// reclaim gives notice to an engine and kills it when the notice is over.
+// reclaim sends an engine's reclaim notice and kills the engine when the notice has elapsed.
 func (r *rig) reclaim(e *rigEngine, id string, notice time.Duration) {
 	e.Leave()
 	r.platform.Notice(id, notice)
@@ -92,11 +92,11 @@
 func TestEngineReclaimedMidStream(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault standin.Fault // at the successor
+		fault standin.Fault // at the engine that continues the stream
 		moved bool
 	}{
-		{"its KV cache is exported", standin.Fault{}, true},
-		{"the import fails, it is computed again", standin.Fault{Mode: standin.FaultRefuse, Path: "/v1/kv/import"}, false},
+		{"KV cache exported", standin.Fault{}, true},
+		{"import fails, tokens recomputed", standin.Fault{Mode: standin.FaultRefuse, Path: "/v1/kv/import"}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 				recomputed += e.Stats().Recomputed
 			}
 			if c.moved {
-				assert.Less(t, recomputed, 20, "only what came during the transfer is computed again")
+				assert.Less(t, recomputed, 20, "only tokens produced during the transfer are computed again")
 			} else {
 				assert.Greater(t, recomputed, 20)
 			}
@@ -177,19 +177,19 @@
 	id := l.a.Header.Get("X-Request-Id")
 	gone := make(chan struct{})
 	go func() { r.nodes[0].LeaveWithin(600 * time.Millisecond); close(gone) }()
-	l.read(60) // still through the leaving node, which follows the new holder
+	l.read(60) // still through the leaving node, which follows the new owner
 	<-gone
 	r.nodes[0].kill()
 	l.read(0)
-	assert.True(t, strings.HasPrefix(k.want, l.text.String()), "what came is the beginning of the answer")
+	assert.True(t, strings.HasPrefix(k.want, l.text.String()), "the part received is a prefix of the response")
 	for _, n := range r.nodes[1:] {
 		rest := n.open(t, "/v1/requests/"+id, "", l.last)
 		assert.True(t, rest.read(0))
-		assert.Equal(t, k.want, l.text.String()+rest.text.String(), "the rest from any node")
+		assert.Equal(t, k.want, l.text.String()+rest.text.String(), "any node serves the remainder")
 	}
 }
 
-// Two nodes of a hall read the notices; each of the others hears of its own from them.
+// Two nodes of a hall read the notices; each of the other nodes learns of its own notice from them.
 func TestNoticeReachesTheNodeThatDoesNotReadNotices(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-a", "hall-a", "hall-a")
 	for _, n := range r.nodes {
@@ -201,8 +201,8 @@
 	}
 }
 
-// A node that leaves while it is cut off from all others keeps what nobody takes, and goes
-// on with it for as long as it is there.
+// A node that leaves while it is partitioned from all others keeps the requests that no peer accepts, and
+// continues them for as long as it runs.
 func TestEntryVMWithNoticeAndNoReachablePeer(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{})
@@ -232,7 +232,7 @@
 	r.nodes[0].kill()
 	for id, k := range jobs {
 		assert.Equal(t, k.want, r.jobResult(r.nodes[1], id))
-		assert.Equal(t, k.want, r.jobResult(r.nodes[2], id), "every node gives the same answer")
+		assert.Equal(t, k.want, r.jobResult(r.nodes[2], id), "every node returns the same response")
 	}
 }
 
@@ -247,7 +247,7 @@
 	assert.Equal(t, "peer-other-hall", a.header.Get("Spurhall-Held"))
 	r.nodes[0].kill()
 	assert.Equal(t, k.want, r.jobResult(r.nodes[1], a.id), "the peer that held the copy runs it")
-	t.Run("with nobody to hold it, it is refused", func(t *testing.T) {
+	t.Run("rejected if no peer can hold it", func(t *testing.T) {
 		a := r.nodes[1].call(http.MethodPost, "/v1/chat/completions", k.body, "Prefer", "respond-async")
 		assert.Equal(t, http.StatusServiceUnavailable, a.status)
 		assert.Equal(t, "not-run", a.outcome)
@@ -273,7 +273,7 @@
 		}
 		left = append(left, n)
 	}
-	require.True(t, killed, "somebody took the job over")
+	require.True(t, killed, "a node took the job over")
 	assert.Equal(t, k.want, r.jobResult(left[0], a.id))
 }
 
@@ -296,12 +296,12 @@
 		defer close(done)
 		r.nodes[0].Drain(t.Context())
 	}()
-	r.eventually("readiness has dropped", func() bool {
+	r.eventually("the node is no longer ready", func() bool {
 		return r.nodes[0].call(http.MethodGet, "/readyz", "").status == http.StatusServiceUnavailable
 	})
 	k := newChat("chat", "late", 1, true)
 	a := r.chat(r.nodes[0], k)
-	assert.Equal(t, "not-run", a.outcome, "a late caller is told, not refused the connection")
+	assert.Equal(t, "not-run", a.outcome, "a late caller gets a response, not a refused connection")
 	wait.Wait()
 	<-done
 }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -17,7 +17,7 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// countedConn counts the bytes of the calls to peers, both ways.
+// countedConn counts the bytes of the calls to peers, in both directions.
 type countedConn struct {
 	net.Conn
 	n *atomic.Int64
@@ -59,9 +59,9 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkControl measures what a node spends without any request: many nodes in one
-// process, with upstreams whose load changes at every report. Processor time and
-// memory include the stand-ins', so they are upper bounds.
+// BenchmarkControl measures the resources that a node uses without any request: many nodes in one process,
+// with upstreams whose load changes at every report. Processor time and memory include those of the
+// stand-ins, so they are upper bounds.
 func BenchmarkControl(b *testing.B) {
 	for _, c := range []controlLoad{
 		{nodes: 9, upstreams: 15, halls: 9},
@@ -82,7 +82,7 @@
 	}
 }
 
-// controlLoad is what a control run has; changes and leaving are events a second.
+// controlLoad is the fleet of a control run; changes and leaving are events per second.
 type controlLoad struct{ nodes, upstreams, halls, changes, leaving int }
 
 const controlDuration = 10 * time.Second
--- a/internal/node/dead_test.go
+++ b/internal/node/dead_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// crashGroup is upstreams that end together.
+// crashGroup is a set of upstreams that crash together.
 type crashGroup struct{ list []*httptest.Server }
 
 func (v *crashGroup) add(r *rig, id, service string, h http.Handler) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// countConcurrent calls f so many times at once, and returns how often it was true.
+// countConcurrent calls f count times concurrently and returns how often it was true.
 func countConcurrent(count int, f func(i int) bool) int {
 	var mu sync.Mutex
 	var w sync.WaitGroup
@@ -52,8 +52,9 @@
 	return n
 }
 
-// TestRequestsAmongCrashedUpstreams: most upstreams of a service have ended together, and are known as alive still.
-// Callers were refused after four refused connections, while others would have taken them.
+// TestRequestsAmongCrashedUpstreams: most upstreams of a service have crashed together and still count as
+// live. Callers must not be rejected after four refused connections while other upstreams would accept their
+// requests.
 func TestRequestsAmongCrashedUpstreams(t *testing.T) {
 	t.Run("plain", func(t *testing.T) {
 		r := newRig(t, "hall-a")
@@ -62,7 +63,7 @@
 		for i := range 22 {
 			v.add(r, fmt.Sprint("p", i), "orders", r.plain.Handler())
 		}
-		r.eventually("they are known", func() bool { return n.upstreams("orders") == 23 })
+		r.eventually("the services are known", func() bool { return n.upstreams("orders") == 23 })
 		v.crash()
 		assert.Equal(t, 8, countConcurrent(8, func(int) bool { return n.call(http.MethodPost, "/s/orders/again", "{}").status == http.StatusOK }))
 	})
@@ -81,27 +82,27 @@
 			return r.chat(n, newChat("chat", fmt.Sprint("c", i), 2, true)).status == http.StatusOK
 		}))
 	})
-	t.Run("where none lives, each is asked once, and a few again", func(t *testing.T) {
+	t.Run("all crashed: each is tried once, a few again", func(t *testing.T) {
 		r := newRig(t, "hall-a")
 		n := r.nodes[0]
 		v := &crashGroup{}
-		const dead, calls = 40, 20
-		for i := range dead {
+		const crashed, calls = 40, 20
+		for i := range crashed {
 			id := fmt.Sprint("d", i)
 			v.add(r, id, "llm", standin.NewEngine(timer.Real(), standin.EngineOptions{ID: id, Slots: 32, CacheTokens: 100000}).Handler())
 		}
-		r.waitEngines(dead)
+		r.waitEngines(crashed)
 		v.crash()
 		for i := range calls {
 			assert.NotEqual(t, http.StatusOK, r.chat(n, newChat("chat", fmt.Sprint("c", i), 2, true)).status)
 		}
-		again := 0
+		retries := 0
 		for _, e := range n.Timeline().Since(time.Time{}) {
 			if e.Name == "retry" {
-				again++
+				retries++
 			}
 		}
-		t.Logf("%d tries after the first", again)
-		assert.LessOrEqual(t, again, dead+5*calls)
+		t.Logf("%d retries", retries)
+		assert.LessOrEqual(t, retries, crashed+5*calls)
 	})
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,19 +12,18 @@
 	"spurhall.example/spurhall/internal/stream"
 )
 
-// This file stops a node. A planned stop waits for whatever is in progress; a
-// reclaim has a deadline, so what can't end before it goes to a peer.
+// This file stops a node. A planned stop waits for all calls and requests in progress; a reclaim has a
+// deadline, so requests that cannot finish before it are handed over to a peer.
 
-// Drain stops taking new work, waits until what is in progress has ended or the
-// context does, and leaves the claim protocol.
+// Drain stops accepting new work, waits until all work in progress has finished or the context has ended, and
+// leaves the claim protocol.
 func (n *Node) Drain(ctx context.Context) {
 	if n.lifecycle.Fire("stop") != nil {
 		return
 	}
 	n.log.Add("node_draining", "", fmt.Sprintf("%d in progress", n.openCalls()))
 	n.announceLeaving()
-	// Claims go on until the last call has ended: a call that is in progress may
-	// still need one.
+	// Claims stay available until the last call has finished: a call in progress may still need one.
 	_ = n.clock.Sleep(ctx, readinessLag)
 	for ctx.Err() == nil && (n.openCalls() > 0 || n.openRequests() > 0) {
 		_ = n.clock.Sleep(ctx, drainPoll)
@@ -36,8 +35,8 @@
 
 const (
 	drainPoll = 50 * time.Millisecond
-	// readinessLag is how long the balancer may take to see that readiness dropped:
-	// until then callers still come, and get an answer that sends them elsewhere.
+	// readinessLag is how long the load balancer may take to see that the node is no longer ready: until then
+	// callers still connect, and get a response that sends them to another node.
 	readinessLag = 500 * time.Millisecond
 	leaveTimeout = 2 * time.Second
 )
@@ -59,9 +58,9 @@
 	n.claims.Leave(x)
 }
 
-// LeaveWithin is Drain for a VM that is taken back: what hasn't ended when half the
-// notice is over goes to the peers. Callers that are still connected keep getting
-// their answers through this node for as long as it is there.
+// LeaveWithin is Drain for a VM that is being reclaimed: requests that have not finished after half of the
+// notice are handed over to peers. Callers that are still connected receive their responses through this node
+// until its VM is gone.
 func (n *Node) LeaveWithin(notice time.Duration) {
 	if n.lifecycle.Fire("stop") != nil {
 		return
@@ -78,8 +77,8 @@
 	_ = n.lifecycle.Fire("drained")
 }
 
-// handOver gives every open request to the peer that its id ranks first, or the
-// next one that takes it.
+// handOver hands every open request over to the peer that its id ranks first, or to the next one in the
+// ranking that accepts it.
 func (n *Node) handOver() {
 	list := n.registry.List(func(r *request.Request) bool {
 		return r.Owner() == n.id && r.Record().Read(0).Outcome == stream.OutcomeOpen
@@ -107,7 +106,7 @@
 	r.Stop()
 	s := r.Spec()
 	if s.Outcome != stream.OutcomeOpen {
-		return // it ended in the last moment
+		return // it finished before it was stopped
 	}
 	for _, id := range route.Rank(r.ID(), ids) {
 		f := byID[id].Fact
@@ -127,7 +126,7 @@
 	n.start(r)
 }
 
-// transferJob names the new owner in the journal, so that its answer is accepted.
+// transferJob records the new owner in the journal, so that its response is accepted.
 func (n *Node) transferJob(id, owner string) {
 	x, cancel := context.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
@@ -138,7 +137,7 @@
 	_ = n.journal.TakeOver(x, s, revision, owner)
 }
 
-// Stop ends every duty at once.
+// Stop cancels all duties and waits for them to return.
 func (n *Node) Stop() {
 	n.cancel()
 	n.duties.Wait()
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -20,14 +20,14 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// This file keeps up with the peers. Each interval a node exchanges facts with two
-// peers; only what the other doesn't have yet is sent. A fact that some VM
-// leaves doesn't wait for the interval: it goes to several peers at once, and each
-// of them does the same, so it is everywhere within a few round trips.
+// This file exchanges state with the peers. Each interval a node exchanges facts with two peers, and each
+// side sends only the facts that the other does not have yet. The fact that a VM is leaving does not wait for
+// the interval: it is sent to several peers at once, each of which does the same, so that it reaches all
+// nodes within a few round trips.
 
 var errs = errorx.NewNamespace("node")
 
-// errBlocked says that a test cut this node off from the peer.
+// errBlocked reports that a test has blocked calls from this node to the peer.
 var errBlocked = errs.NewType("cut").New("cut off from the peer")
 
 const (
@@ -35,17 +35,17 @@
 	peersPerUrgentRound = 8
 	factsPerMessage     = 1000
 	exchangeTimeout     = time.Second
-	// crossHallEvery is the share of exchanges that go to another hall: within a hall facts
-	// must be fresh, across halls they needn't be.
+	// crossHallEvery is the number of rounds between exchanges with another hall: facts must be fresh within
+	// a hall, but need not be across halls.
 	crossHallEvery = 4
 )
 
-// peer is what this node keeps of one other node.
+// peer is the state that this node keeps for another node.
 type peer struct {
 	client           wireconnect.PeerClient
-	sentPosition     uint64 // position in the own log up to which the peer has all
-	receivedPosition uint64 // position in the peer's log up to which this node has all
-	platformUp       bool   // the peer says that the platform answers it
+	sentPosition     uint64 // position in this node's log up to which the peer has all facts
+	receivedPosition uint64 // position in the peer's log up to which this node has all facts
+	platformUp       bool   // the peer has reported that it reaches the platform
 	lastSeen         time.Time
 }
 
@@ -67,11 +67,11 @@
 	return &peers{n: n, http: &http.Client{Transport: t}, byID: make(map[string]*peer), urgent: make(chan struct{}, 1)}
 }
 
-// exchangeNow makes the next exchange happen now, with more peers than usual.
+// exchangeNow starts the next round at once, with more peers than usual.
 func (p *peers) exchangeNow() {
 	select {
 	case p.urgent <- struct{}{}:
-	default: // one is due already
+	default: // a round is due already
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 }
 
-// round exchanges with k random peers, in parallel, mostly of this hall.
+// round exchanges with k peers in parallel, mostly of this hall.
 func (p *peers) round(ctx context.Context, k int) {
 	targets := p.choosePeers(k)
 	if len(targets) == 0 {
@@ -126,13 +126,14 @@
 	}
 }
 
-// choosePeers picks the peers of one round. Within the hall they stand in a ring by id, and
-// a node talks with those 1, 2, 4, 8 ... places on: few enough that each pair meets
-// often and has little to tell, and far enough that news is everywhere in a few
-// rounds. Only the hall's delegates talk with other halls, each time with one
-// delegate of another. Peers at random were measured: a pair that meets rarely has
-// almost the whole table to tell, and the bytes grew with the square of the fleet.
-// Now and then one random peer is taken all the same, to heal whatever a cut left.
+// choosePeers selects the peers of one round. The nodes of a hall form a ring by id, and a node exchanges
+// with those at distances 1, 2, 4, 8 ...: few enough that each pair exchanges often and has little to send,
+// and far enough apart that a fact reaches all nodes in a few rounds. Only the hall's delegates exchange with
+// other halls, each time with one delegate of another hall. Now and then a random peer is selected instead,
+// to reconnect the nodes after a partition.
+//
+// Alternatives considered: peers at random. A pair that exchanges rarely has almost the whole table to send,
+// and the bytes grew with the square of the fleet.
 func (p *peers) choosePeers(k int) []member.Seen {
 	p.turn++
 	near, far := p.splitByHall()
@@ -158,7 +159,7 @@
 	randomPeerEvery = 29
 )
 
-// splitByHall lists the other nodes of this hall and of the others.
+// splitByHall lists the other nodes: those of this hall and those of other halls.
 func (p *peers) splitByHall() (near, far []member.Seen) {
 	for _, f := range p.knownPeers() {
 		if f.Hall == p.n.o.Hall {
@@ -170,7 +171,7 @@
 	return near, far
 }
 
-// ringPeers returns k of the peers at distances 1, 2, 4 ... behind id, in turn.
+// ringPeers returns k of the peers at distances 1, 2, 4 ... after id in the ring; turn rotates the selection.
 func ringPeers(near []member.Seen, id string, turn, k int) []member.Seen {
 	n := len(near)
 	start := sort.Search(n, func(i int) bool { return near[i].ID > id })
@@ -207,8 +208,8 @@
 	return r
 }
 
-// knownPeers returns the nodes that may be reached: also silent ones, for a while, since
-// a cut may end.
+// knownPeers returns the other nodes that may be reachable. It includes unresponsive ones for
+// unresponsiveRetention, since a partition may end.
 func (p *peers) knownPeers() []member.Seen {
 	now := p.n.clock.Now()
 	return p.n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
@@ -218,7 +219,7 @@
 
 const unresponsiveRetention = 2 * time.Minute
 
-// forget drops what is kept of peers that weren't heard of since a time.
+// forget drops the state of peers that were last seen before the given time.
 func (p *peers) forget(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,7 +230,7 @@
 	}
 }
 
-// exchangeWithSeeds exchanges with the addresses in the settings, whoever is there.
+// exchangeWithSeeds exchanges with the seed addresses, whichever nodes listen there.
 func (p *peers) exchangeWithSeeds(ctx context.Context) {
 	for _, a := range p.n.o.Seeds {
 		if a != p.n.o.PeerAddress {
@@ -242,7 +243,7 @@
 	return p.n.o.Blocked != nil && p.n.o.Blocked(address)
 }
 
-// exchange swaps facts with one peer and pulls its configuration if it is newer.
+// exchange exchanges facts with one peer and pulls its configuration if that is newer.
 func (p *peers) exchange(ctx context.Context, id, address string) {
 	if p.blocked(address) {
 		return
@@ -290,9 +291,9 @@
 	return r
 }
 
-// mergeFacts takes in a peer's facts, and tells whether the peer has to be asked for all.
-// What a peer says of this very node is ignored, since nobody knows it better, but for a
-// notice that it may not have read itself.
+// mergeFacts merges a peer's facts into the table, and reports whether facts are missing, so that the peer
+// has to send all of them. Facts about this node itself are ignored, since its own state is the most recent,
+// except for a leaving notice that it may not have read itself.
 func (p *peers) mergeFacts(source string, list []*wire.Fact) bool {
 	now := p.n.clock.Now()
 	facts := make([]member.Fact, 0, len(list))
@@ -310,7 +311,7 @@
 	return missing
 }
 
-// handleExchange is the other side of an exchange.
+// handleExchange serves an exchange that a peer started.
 func (p *peers) handleExchange(q *wire.ExchangeRequest) *wire.ExchangeResponse {
 	missing := p.mergeFacts(q.From, q.Facts)
 	p.n.dispatcher.Hear(q.Suspicions)
@@ -335,8 +336,9 @@
 	return &wire.ExchangeResponse{ConfigRevision: p.n.view.Revision(), Facts: factsToWire(facts), Position: position, PlatformUp: p.n.guard.Up(), Suspicions: p.n.dispatcher.Suspicions()}
 }
 
-// hallReachable tells whether the way to a hall is open: one of two of its nodes listens. Where none is
-// known, nothing speaks for a cut.
+// hallReachable reports whether a hall can be reached: one of up to maxReachabilityProbes of its nodes
+// accepts a connection. Where no node of the hall is known, there is no evidence of a partition, and the hall
+// counts as reachable.
 func (p *peers) hallReachable(ctx context.Context, hall string) bool {
 	tried := 0
 	for _, f := range p.knownPeers() {
@@ -351,10 +353,10 @@
 	return tried == 0
 }
 
-// maxReachabilityProbes is how many nodes of a hall are tried for the way there: one may have ended.
+// maxReachabilityProbes is the number of nodes of a hall that are probed: a single one may have stopped.
 const maxReachabilityProbes = 2
 
-// anyPeerHasPlatform tells whether a peer said lately that the platform answers it.
+// anyPeerHasPlatform reports whether a peer has recently reported that it reaches the platform.
 func (p *peers) anyPeerHasPlatform() bool { return len(p.peersWithPlatform()) > 0 }
 
 func (p *peers) peersWithPlatform() []*peer {
@@ -406,7 +408,7 @@
 	return g
 }
 
-// SnapshotFromWire reads a configuration from its form between processes.
+// SnapshotFromWire converts a configuration from its wire form.
 func SnapshotFromWire(w *wire.Snapshot) config.Snapshot {
 	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, Applied: time.UnixMilli(w.AppliedUnixMs)}
 	for _, d := range w.Documents {
@@ -415,7 +417,7 @@
 	return s
 }
 
-// SnapshotToWire is the inverse of SnapshotFromWire.
+// SnapshotToWire converts a configuration to its wire form.
 func SnapshotToWire(s *config.Snapshot) *wire.Snapshot {
 	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.Applied.UnixMilli()}
 	for _, d := range s.Documents {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,13 @@
-// Package node puts one spurhalld together: it owns the parts, starts a goroutine
-// for each duty, and stops them in order.
+// Package node assembles one spurhalld: it creates the components, starts a goroutine for each duty, and
+// stops them in order.
 //
-//	node.go      the parts and their wiring
+//	node.go      the components and their wiring
 //	exchange.go  peers: facts and configuration revisions
 //	observe.go   the platform's VM list and notices; upstreams' loads
 //	serve.go     accepted requests: running, holding, handing over, finding
-//	peer.go      what peers may ask of this node
+//	peer.go      the RPCs that peers call
+//	proxy.go     claims written by a peer, while this node cannot reach the platform
+//	pace.go      report intervals, duties and platform rates in proportion to the fleet
 //	scale.go     the hall's leader and its VM orders
 //	drain.go     stopping and leaving
 package node
@@ -39,7 +41,7 @@
 	"spurhall.example/spurhall/internal/upstream"
 )
 
-// Options sets a node.
+// Options configures a node.
 type Options struct {
 	VM               string // the VM's id in the VM list
 	Hall             string
@@ -50,14 +52,14 @@
 	Log              *zap.Logger
 	KV               store.KV
 	Cloud            store.Cloud
-	PlatformRate     float64 // calls a second that the platform takes in all
+	PlatformRate     float64 // calls per second that the platform accepts from all nodes
 	Policy           route.Policy
 	CrossHallLatency time.Duration
-	ExchangeInterval time.Duration // between two exchanges
+	ExchangeInterval time.Duration // between two rounds of exchanges
 	PeerTransport    http.RoundTripper
 	PeerScheme       string
-	Autoscale        bool // take part in leading this hall's VM orders
-	// Blocked cuts this node off from a peer address, for tests of a cut network.
+	Autoscale        bool // be a candidate for ordering this hall's VMs
+	// Blocked tells whether calls to a peer address are blocked, for tests of network partitions.
 	Blocked func(address string) bool
 }
 
@@ -85,16 +87,16 @@
 	duties            sync.WaitGroup
 	lastNotice        int64
 	missingFromList   map[string]bool
-	openJobs          map[string]string // open jobs of the journal and their owners, if followed
+	openJobs          map[string]string // owners of the journal's open jobs by id, while this node follows the journal
 	sequence          uint64
-	cachedLive        []member.Seen // see liveNodes
+	cachedLive        []member.Seen // result of liveNodes
 	cachedLiveAt      time.Time
 	cachedLiveVersion uint64
 	intervals         atomic.Pointer[reportIntervals]
 	mu                sync.Mutex
 }
 
-// New returns a node that isn't running yet.
+// New returns a node that has not been started.
 func New(o Options) *Node {
 	id := newID(o.VM)
 	n := &Node{
@@ -142,18 +144,18 @@
 	return vm + "-" + hex.EncodeToString(b)
 }
 
-// vmOf returns the VM that a node's id was made for.
+// vmOf returns the VM that a node's id was generated for.
 func vmOf(id string) string {
 	return id[:max(0, len(id)-1-2*idBytes)]
 }
 
-// ID returns the node's id, which is new with each process.
+// ID returns the node's id, which is generated anew by each process.
 func (n *Node) ID() string { return n.id }
 
 // Hall returns the node's hall.
 func (n *Node) Hall() string { return n.o.Hall }
 
-// State returns where the node is in its life.
+// State returns the current state of the node's lifecycle.
 func (n *Node) State() string { return n.lifecycle.State() }
 
 // Timeline returns the node's events.
@@ -162,10 +164,10 @@
 // View returns the configuration in force.
 func (n *Node) View() *config.View { return n.view }
 
-// Store returns the configuration's store.
+// Store returns the store of configurations.
 func (n *Node) Store() *config.Store { return n.store }
 
-// Table returns what is known of the other VMs.
+// Table returns the facts known about the other VMs.
 func (n *Node) Table() *member.Table { return n.table }
 
 // Registry returns the requests held here.
@@ -177,29 +179,29 @@
 // Clock returns the node's clock.
 func (n *Node) Clock() *timer.Service { return n.clock }
 
-// PlatformUp tells whether the platform answered lately.
+// PlatformUp reports whether the platform has responded recently.
 func (n *Node) PlatformUp() bool { return n.guard.Up() }
 
-// CallerHandler returns the callers' interface.
+// CallerHandler returns the handler of the callers' interface.
 func (n *Node) CallerHandler() http.Handler { return n.ingress.Handler() }
 
-// Dispatcher returns the pools.
+// Dispatcher returns the dispatcher, which holds the pools.
 func (n *Node) Dispatcher() *dispatch.Dispatcher { return n.dispatcher }
 
-// Accept puts a snapshot in force here at once, if it is newer.
+// Accept puts a snapshot in force on this node at once, if it is newer than the current one.
 func (n *Node) Accept(s config.Snapshot, from string) {
 	err := n.view.Accept(s)
 	switch {
 	case err == nil:
 		n.log.Add("config_in_force", "", fmt.Sprintf("revision %d by %s, from %s", s.Revision, s.Author, from))
 		n.publishOwnFact()
-		n.peers.exchangeNow() // the others hear of it now, and pull it
+		n.peers.exchangeNow() // the peers learn of the revision now, and pull it
 	case !config.Stale(err):
 		n.log.Add("config_refused", "", err.Error())
 	}
 }
 
-// startDuty runs f in a goroutine of its own until the node stops.
+// startDuty runs f in a goroutine of its own; its context ends when the node stops.
 func (n *Node) startDuty(f func(ctx context.Context)) {
 	n.duties.Add(1)
 	go func() {
@@ -208,7 +210,7 @@
 	}()
 }
 
-// Start begins the duties and makes the node ready.
+// Start starts the duties; the node becomes ready once it has a configuration.
 func (n *Node) Start() {
 	n.publishOwnFact()
 	n.startDuty(n.claims.Run)
@@ -227,8 +229,8 @@
 	}
 }
 
-// becomeReady opens the node to callers as soon as it has a configuration, or after
-// a while without one: it may be the first node ever.
+// becomeReady opens the node to callers as soon as it has a configuration, or after readyTimeout without one:
+// it may be the first node of a deployment.
 func (n *Node) becomeReady(ctx context.Context) {
 	c, stop := n.clock.After(readyTimeout)
 	defer stop()
@@ -245,8 +247,8 @@
 
 const readyTimeout = 2 * time.Second
 
-// followConfig watches the head. One node of a hall does, the rest learn from their
-// peers; a node that hears of no other in its hall watches itself.
+// followConfig watches the head revision. One node of a hall watches it and the rest learn of changes from
+// their peers; a node without a live peer in its hall watches it itself.
 func (n *Node) followConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !n.hasDuty("config", 1) {
@@ -267,7 +269,8 @@
 	}
 }
 
-// A heartbeat takes a few exchanges to reach all nodes of a hall.
+// How long a node of the hall may send no heartbeat before its duties are reassigned. A heartbeat needs a few
+// exchanges to reach all nodes of a hall.
 const (
 	minHallTimeout       = 3 * time.Second
 	hallTimeoutExchanges = 8
@@ -293,13 +296,13 @@
 }
 
 const (
-	// liveCacheTTL is how long a list of live nodes is used again: it is asked for at every
-	// decision about who does what, and changes rarely.
+	// liveCacheTTL is how long a list of live nodes is reused: every decision about the owner of a duty needs
+	// it, and it changes rarely.
 	liveCacheTTL = 200 * time.Millisecond
 )
 
 const (
-	nodesPerHeartbeatExchange = 8
+	nodesPerHeartbeatExchange = 8 // nodes of the hall per round of exchanges between two heartbeats
 	loadIntervalPerVM         = 75 * time.Millisecond
 	maxLoadInterval           = 5 * time.Second
 	crossHallIntervalPerNode  = 200 * time.Millisecond
@@ -307,7 +310,7 @@
 	minHeartbeatExchanges     = 2
 )
 
-// publishOwnFact tells the others of this node as it is now.
+// publishOwnFact puts this node's current state into the table, from which it is sent to the peers.
 func (n *Node) publishOwnFact() {
 	n.mu.Lock()
 	n.sequence++
@@ -330,13 +333,13 @@
 	return n.ingress.Open()
 }
 
-// onFact acts on a change of a VM's status, and passes it on at once.
+// onFact handles a change of a VM's status and propagates it to the peers at once.
 func (n *Node) onFact(old, now member.Fact) {
 	if now.Status <= member.StatusLive || now.ID == n.id {
 		return
 	}
 	if old.Incarnation != now.Incarnation && old.ID != "" || old.ID == "" {
-		return // a VM that is first heard of as leaving was never used here
+		return // a VM that is already leaving when first seen was never used by this node
 	}
 	n.log.Add("vm_"+now.Status.String(), "", now.ID)
 	n.peers.exchangeNow()
@@ -345,7 +348,7 @@
 	}
 }
 
-// Published metrics of the process.
+// metrics are the published metrics of the process.
 var metrics = struct {
 	nodes, upstreams, requests, revision, open *expvar.Int
 }{
@@ -353,7 +356,7 @@
 	expvar.NewInt("config_revision"), expvar.NewInt("callers_open"),
 }
 
-// sweep forgets what is over, and brings the metrics up to date.
+// sweep drops expired requests, facts and peers, and updates the metrics.
 func (n *Node) sweep(ctx context.Context) {
 	n.clock.Every(ctx, time.Second, func(now time.Time) {
 		n.registry.Sweep(now.Add(-responseRetention))
@@ -373,8 +376,8 @@
 const (
 	responseRetention = 60 * time.Second
 	goneRetention     = 10 * time.Minute
-	// callerGrace is how long a stream goes on after its caller has left: the caller
-	// may come back through another node.
+	// callerGrace is how long a stream continues after its caller has disconnected: the caller may reconnect
+	// through another node.
 	callerGrace = 30 * time.Second
 )
 
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -11,10 +11,9 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file observes: the VM list and the notices, by two nodes of each hall, and
-// the loads of the hall's upstreams, each by one node. The rest learn from their
-// peers, so that what the platform and the upstreams are asked doesn't grow with
-// the number of nodes.
+// This file observes the environment: two nodes of each hall read the VM list and the notices, and one node
+// queries the load of each of the hall's upstreams. The other nodes learn of it from their peers, so that the
+// number of calls to the platform and the upstreams does not grow with the number of nodes.
 
 const (
 	vmListInterval   = 2 * time.Second
@@ -57,8 +56,8 @@
 	n.trackMissing(ctx, present)
 }
 
-// vmFact turns a list entry into a fact. The list says nothing of load, so what is
-// known of it stands.
+// vmFact converts an entry of the VM list into a fact. The list has no load, so the load that is already
+// known is kept.
 func (n *Node) vmFact(v *store.VM) member.Fact {
 	f := member.Fact{
 		ID: v.ID, Kind: member.KindUpstream, Incarnation: v.Incarnation, Status: member.StatusLive,
@@ -71,10 +70,9 @@
 	return f
 }
 
-// trackMissing marks upstreams that were listed and no longer are, and retires members
-// whose VM is gone. A VM has to be missing from two lists in a row, and not to answer
-// at its address: a list that jumps back in time shows none of the VMs that came since,
-// and gone is for good.
+// trackMissing marks upstreams that are no longer listed as gone, and retires members whose VM is gone. A VM
+// counts as gone only if it is missing from two successive lists and does not respond at its address: a stale
+// list lacks all VMs that were created later, and the status gone is final.
 func (n *Node) trackMissing(ctx context.Context, present map[string]bool) {
 	n.mu.Lock()
 	var gone []string
@@ -101,7 +99,7 @@
 	f, ok := n.table.Get(id)
 	if ok && n.client.Reachable(ctx, f.Address) {
 		n.mu.Lock()
-		n.missingFromList[id] = true // it is looked at again with the next list
+		n.missingFromList[id] = true // checked again with the next list
 		n.mu.Unlock()
 		return
 	}
@@ -141,7 +139,7 @@
 	}
 }
 
-// defaultNotice is taken when a VM is known to leave and nobody said when.
+// defaultNotice is assumed when a VM is known to be leaving but its deadline is not.
 const defaultNotice = 2 * time.Second
 
 func (n *Node) applyNotice(v store.Notice) {
@@ -155,8 +153,8 @@
 	}
 }
 
-// markLeaving marks an upstream, or the node on an entry VM, which learns of it from the
-// next peer that it exchanges facts with: only two nodes of a hall read the notices.
+// markLeaving marks an upstream, or the node on an entry VM, as leaving. That node learns of it from the next
+// peer that it exchanges facts with: only two nodes of a hall read the notices.
 func (n *Node) markLeaving(vm string, within time.Duration) bool {
 	now := n.clock.Now()
 	if n.table.Mark(now, vm, member.StatusLeaving, now.Add(within)) {
@@ -170,8 +168,8 @@
 	return false
 }
 
-// applyLeavingReport acts on a peer's word that this very node is leaving. Without a time it is
-// this node's own word that comes back.
+// applyLeavingReport handles a peer's report that this node is leaving. A report without a deadline is this
+// node's own announcement, sent back to it.
 func (n *Node) applyLeavingReport(f *member.Fact) {
 	if f.Status != member.StatusLeaving || f.LeavesAt == 0 {
 		return
@@ -194,8 +192,8 @@
 	}
 }
 
-// queryLoads asks the upstreams that this node reports for. Only model engines have a
-// load to report; a plain service must get no call that a caller didn't make.
+// queryLoads queries the upstreams that this node reports on. Only model engines have a load to report; a
+// plain service must not receive any call that no caller has made.
 func (n *Node) queryLoads(ctx context.Context) {
 	pools := n.view.Pools()
 	list := n.table.Select(func(f *member.Fact) bool {
@@ -209,7 +207,7 @@
 	}
 }
 
-// reportsLoadOf tells whether this node is the one of its hall that asks the upstream.
+// reportsLoadOf reports whether this node is the one in its hall that queries the load of the upstream.
 func (n *Node) reportsLoadOf(id string) bool {
 	var ids []string
 	for _, f := range n.liveNodes() {
@@ -233,7 +231,7 @@
 		return
 	}
 	if l.Running == f.Running && l.Queued == f.Queued && f.Sequence > 0 {
-		return // nothing new, and nothing to spread
+		return // unchanged, nothing to propagate
 	}
 	f.Running, f.Queued = l.Running, l.Queued
 	f.Sequence++
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -11,7 +11,7 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-// callAllNodes sends one key through every node at once and returns the answers.
+// callAllNodes sends a call with the same key through every node concurrently and returns the responses.
 func (r *rig) callAllNodes(path, key string) []response {
 	list := make([]response, len(r.nodes))
 	var wait sync.WaitGroup
@@ -26,7 +26,7 @@
 	return list
 }
 
-// assertAtMostOnce checks the answers of one key against the service's run log.
+// assertAtMostOnce checks the responses of one key against the service's run log.
 func (r *rig) assertAtMostOnce(key string, list []response) {
 	r.t.Helper()
 	runs := r.plain.Runs()[key]
@@ -39,7 +39,7 @@
 		}
 	}
 	if done > 0 {
-		assert.Equal(r.t, 1, runs, "an answer says done")
+		assert.Equal(r.t, 1, runs, "a response reports done")
 	}
 }
 
@@ -49,7 +49,7 @@
 		k := fmt.Sprintf("k%d", i)
 		list := r.callAllNodes("/refuse", k)
 		r.assertAtMostOnce(k, list)
-		assert.Equal(t, 1, r.plain.Runs()[k], "with the platform up, one of them runs")
+		assert.Equal(t, 1, r.plain.Runs()[k], "with the platform up, exactly one call runs")
 	}
 }
 
@@ -57,7 +57,7 @@
 	r := newRig(t, "hall-a", "hall-b")
 	a := r.nodes[0].keyed("/refuse", "k")
 	assert.Equal(t, "done", a.outcome)
-	r.eventually("the answer is on record", func() bool {
+	r.eventually("the response is recorded", func() bool {
 		b := r.nodes[1].keyed("/refuse", "k")
 		return b.status == http.StatusOK && b.header.Get("Idempotent-Replayed") == "true" && b.body == a.body
 	})
@@ -67,7 +67,7 @@
 func TestKeyedCallInAnOutage(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-a", "hall-b")
 	r.outage()
-	t.Run("refused by default", func(t *testing.T) {
+	t.Run("rejected by default", func(t *testing.T) {
 		a := r.nodes[0].keyed("/refuse", "r1")
 		assert.Equal(t, http.StatusServiceUnavailable, a.status)
 		assert.Equal(t, "not-run", a.outcome)
@@ -90,7 +90,7 @@
 			r.assertAtMostOnce(k, r.callAllNodes("/promise", k))
 		}
 	})
-	t.Run("a member that can't be reached blocks it", func(t *testing.T) {
+	t.Run("an unreachable member blocks the call", func(t *testing.T) {
 		r.nodes[0].blockedPeers.Store(r.nodes[2].o.PeerAddress, true)
 		a := r.nodes[0].keyed("/promise", "c1")
 		assert.Equal(t, "not-run", a.outcome)
@@ -99,16 +99,16 @@
 		r.eventually("the promises were released", func() bool { return r.nodes[1].keyed("/promise", "c1").outcome == "done" })
 		assert.Equal(t, 1, r.plain.Runs()["c1"])
 	})
-	t.Run("afterwards the promises are claims", func(t *testing.T) {
+	t.Run("promises become claims after the outage", func(t *testing.T) {
 		r.restore()
-		r.eventually("the platform is back", func() bool { return r.nodes[1].guard.Up() && r.nodes[2].guard.Up() })
+		r.eventually("the platform is available again", func() bool { return r.nodes[1].guard.Up() && r.nodes[2].guard.Up() })
 		for i := 0; i < 10; i++ {
 			k := fmt.Sprintf("p%d", i)
 			r.assertAtMostOnce(k, r.callAllNodes("/promise", k))
 		}
 		n := r.addNode("n9", "hall-b")
-		r.eventually("the joiner has synced", n.Claims().Synced)
-		r.eventually("the joiner has the configuration", func() bool { return n.View().Revision() > 0 && n.State() == "ready" })
+		r.eventually("the new node has synced", n.Claims().Synced)
+		r.eventually("the new node has the configuration", func() bool { return n.View().Revision() > 0 && n.State() == "ready" })
 		r.assertAtMostOnce("p0", []response{n.keyed("/promise", "p0")})
 	})
 }
@@ -116,7 +116,7 @@
 func TestKeyedCallWhenOneNodeLosesThePlatform(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.nodes[0].platformCut.Store(true)
-	r.eventually("the outage is noticed", func() bool { return !r.nodes[0].guard.Up() && r.nodes[0].peers.anyPeerHasPlatform() })
+	r.eventually("the outage is detected", func() bool { return !r.nodes[0].guard.Up() && r.nodes[0].peers.anyPeerHasPlatform() })
 	r.eventually("a peer claims for it", func() bool { return r.nodes[0].keyed("/refuse", "b1").outcome == "done" })
 	r.assertAtMostOnce("b1", r.callAllNodes("/refuse", "b1"))
 	for i := 0; i < 10; i++ {
@@ -125,16 +125,14 @@
 	}
 }
 
-// TestKeyedCallWhosePeerLosesTheResponse: a node that is cut off from the platform asks a peer to claim a key for it.
-// The peer writes the claim, and the answer is lost. The caller is told that its call has not run, and asks
-// again with the same key.
-//
-// What was seen, once, beside load: no such call was done in 30 s. Cause: the claim of the attempt that was
-// given up could be erased only by the node that is cut off.
+// TestKeyedCallWhosePeerLosesTheResponse: a node that cannot reach the platform asks a peer to claim a key
+// for it. The peer writes the claim, and the response is lost. The caller is told that its call has not run,
+// and repeats it with the same key. The abandoned claim must be erased through a peer: if only the node that
+// cannot reach the platform may erase it, no call with the key can run.
 func TestKeyedCallWhosePeerLosesTheResponse(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.nodes[0].platformCut.Store(true)
-	r.eventually("the outage is noticed", func() bool { return !r.nodes[0].guard.Up() && r.nodes[0].peers.anyPeerHasPlatform() })
+	r.eventually("the outage is detected", func() bool { return !r.nodes[0].guard.Up() && r.nodes[0].peers.anyPeerHasPlatform() })
 	r.eventually("a peer claims for it", func() bool { return r.nodes[0].keyed("/refuse", "b0").outcome == "done" })
 	r.platform.Fault(standin.Fault{Mode: standin.FaultLose, Path: "/v3/kv/txn"})
 	a := r.nodes[0].keyed("/refuse", "b1")
@@ -169,8 +167,8 @@
 	}
 }
 
-// TestRigSetUpOnSlowPlatform holds what once failed beside a loaded machine: the set-up
-// of a test, with no fault in force yet, hung on one call that took over half a second.
+// TestRigSetUpOnSlowPlatform guards against a set-up of the rig that fails on a loaded machine, with no fault
+// in force yet, because one call takes over half a second.
 func TestRigSetUpOnSlowPlatform(t *testing.T) {
 	r := newRig(t, "hall-a")
 	for _, path := range []string{"/v3/kv/range", "/v3/kv/txn"} {
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -9,10 +9,11 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file keeps what a node does by itself in proportion to the fleet: who reports for
-// whom, how often, and its share of the platform's rates.
+// This file keeps a node's background work in proportion to the fleet: which node has a duty, how often state
+// is reported, and the node's share of the platform's rates.
 
-// cancelOnDutyLoss ends this node's watch when another node of the hall is the one to watch.
+// cancelOnDutyLoss calls cancel when another node of the hall takes over the duty, so that this node's watch
+// ends.
 func (n *Node) cancelOnDutyLoss(ctx context.Context, duty string, cancel func()) {
 	n.clock.Every(ctx, time.Second, func(time.Time) {
 		if !n.hasDuty(duty, 1) {
@@ -21,9 +22,9 @@
 	})
 }
 
-// hasDuty tells whether this node is among the hasDuty k of its hall for a duty. All
-// nodes rank alike, so a duty has an owner without anybody being asked; while views
-// differ it has two, or for a moment none.
+// hasDuty reports whether this node ranks among the first k of its hall for a duty. All nodes compute the
+// same ranking, so a duty has an owner without coordination; while their views differ it may have two owners,
+// or briefly none.
 func (n *Node) hasDuty(duty string, k int) bool {
 	var ids []string
 	for _, f := range n.liveNodes() {
@@ -39,18 +40,18 @@
 	return true
 }
 
-// hallTimeout is how long a node may be silent before the others take over its
-// duties. It isn't taken for gone: only the platform can say that.
+// hallTimeout is how long a node may send no heartbeat before other nodes take over its duties. The node does
+// not count as gone: only the platform can report that.
 func (n *Node) hallTimeout() time.Duration {
 	beat := time.Duration(n.currentIntervals().heartbeatExchanges) * n.o.ExchangeInterval
 	return max(minHallTimeout, hallTimeoutExchanges*n.o.ExchangeInterval, 3*beat)
 }
 
-// reportIntervals is how often what changes all the time is told: the more there are to tell of,
-// the less often, so that a node's traffic grows slower than the fleet. Routing hardly
-// differs with loads some seconds older.
+// reportIntervals is how often frequently changing state is reported. The intervals grow with the amount of
+// state, so that a node's traffic grows more slowly than the fleet. Loads that are a few seconds older make
+// little difference to routing.
 type reportIntervals struct {
-	heartbeatExchanges int           // exchanges between two heartbeats
+	heartbeatExchanges int           // rounds of exchanges between two heartbeats
 	loadInterval       time.Duration // between two load reports of an upstream
 	crossHallInterval  time.Duration // between two reports to other halls
 }
@@ -70,7 +71,7 @@
 	return intervalsFor(0, 0, 0)
 }
 
-// updateIntervals counts what there is to tell of.
+// updateIntervals sets the intervals by the number of live nodes and upstreams.
 func (n *Node) updateIntervals() {
 	hall, upstreams, all := 0, 0, 0
 	n.table.Select(func(f *member.Fact) bool {
@@ -92,7 +93,7 @@
 	n.table.SetSlow(v.crossHallInterval)
 }
 
-// sharePlatformRate divides the platform's rate among the live nodes, and sets the pace.
+// sharePlatformRate divides the platform's rate among the live nodes and updates the intervals.
 func (n *Node) sharePlatformRate(ctx context.Context) {
 	n.clock.Every(ctx, time.Second, func(time.Time) {
 		n.updateIntervals()
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -13,23 +13,22 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// peerService is what peers may ask of this node.
+// peerService implements the RPCs that peers call on this node.
 type peerService struct{ n *Node }
 
-// PeerHandler returns the peers' interface.
+// PeerHandler returns the handler of the peers' interface.
 func (n *Node) PeerHandler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle(wireconnect.NewPeerHandler(&peerService{n}))
 	return m
 }
 
-// Exchange swaps facts.
+// Exchange exchanges facts with a peer.
 func (s *peerService) Exchange(_ context.Context, r *connect.Request[wire.ExchangeRequest]) (*connect.Response[wire.ExchangeResponse], error) {
 	return connect.NewResponse(s.n.peers.handleExchange(r.Msg)), nil
 }
 
-// PullConfig gives the configuration in force, if it is newer than what the peer
-// has.
+// PullConfig returns the configuration in force, if it is newer than the peer's.
 func (s *peerService) PullConfig(_ context.Context, r *connect.Request[wire.PullConfigRequest]) (*connect.Response[wire.PullConfigResponse], error) {
 	v := s.n.view.Snapshot()
 	a := &wire.PullConfigResponse{}
@@ -39,7 +38,7 @@
 	return connect.NewResponse(a), nil
 }
 
-// Claim takes a message of the claim protocol.
+// Claim handles a message of the claim protocol.
 func (s *peerService) Claim(_ context.Context, r *connect.Request[wire.ClaimMessage]) (*connect.Response[wire.ClaimResponse], error) {
 	a := &wire.ClaimResponse{}
 	if g := s.n.claims.Receive(claimFromWire(r.Msg)); g != nil {
@@ -48,19 +47,19 @@
 	return connect.NewResponse(a), nil
 }
 
-// ClaimFor writes a claim for a peer that doesn't reach the platform.
+// ClaimFor writes a claim for a peer that cannot reach the platform.
 func (s *peerService) ClaimFor(ctx context.Context, r *connect.Request[wire.ClaimForRequest]) (*connect.Response[wire.ClaimForResponse], error) {
 	w, revision := s.n.claims.WriteFor(ctx, r.Msg.Member, r.Msg.Key, r.Msg.Attempt, time.Duration(r.Msg.LifetimeMs)*time.Millisecond)
 	return connect.NewResponse(&wire.ClaimForResponse{Result: int32(w), Revision: revision}), nil
 }
 
-// EraseFor erases a claim for a peer that doesn't reach the platform.
+// EraseFor erases a claim for a peer that cannot reach the platform.
 func (s *peerService) EraseFor(ctx context.Context, r *connect.Request[wire.EraseForRequest]) (*connect.Response[wire.EraseForResponse], error) {
 	done := s.n.claims.EraseFor(ctx, r.Msg.Key, r.Msg.Attempt)
 	return connect.NewResponse(&wire.EraseForResponse{Done: done}), nil
 }
 
-// Hold takes a request from a peer: to keep a copy, or to go on with it.
+// Hold accepts a request from a peer, either to keep a copy of it or to continue it.
 func (s *peerService) Hold(_ context.Context, r *connect.Request[wire.HoldRequest]) (*connect.Response[wire.HoldResponse], error) {
 	if r.Msg.Request == nil || r.Msg.Request.Id == "" {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errNoRequest)
@@ -83,7 +82,7 @@
 	errNotReady  = errs.NewType("not_ready").New("this node takes no requests now")
 )
 
-// Drop forgets a copy held for a peer.
+// Drop removes a copy held for a peer.
 func (s *peerService) Drop(_ context.Context, r *connect.Request[wire.DropRequest]) (*connect.Response[wire.DropResponse], error) {
 	if v := s.n.registry.Get(r.Msg.Id); v != nil && v.Owner() != s.n.id {
 		s.n.registry.Remove(r.Msg.Id)
@@ -91,7 +90,7 @@
 	return connect.NewResponse(&wire.DropResponse{}), nil
 }
 
-// owned returns a request that this node runs, or a finished answer that it has.
+// owned returns a request that this node runs, or one whose complete response it has.
 func (s *peerService) owned(id, workspace string) *request.Request {
 	r := s.n.registry.Get(id)
 	if r == nil || r.Workspace() != workspace {
@@ -103,7 +102,7 @@
 	return r
 }
 
-// Find tells whether this node has a request.
+// Find reports whether this node has a request.
 func (s *peerService) Find(_ context.Context, r *connect.Request[wire.FindRequest]) (*connect.Response[wire.FindResponse], error) {
 	a := &wire.FindResponse{}
 	if v := s.owned(r.Msg.Id, r.Msg.Workspace); v != nil {
@@ -113,7 +112,7 @@
 	return connect.NewResponse(a), nil
 }
 
-// Read streams the answer from an offset on, to its end.
+// Read streams the response from an offset to its end.
 func (s *peerService) Read(ctx context.Context, r *connect.Request[wire.ReadRequest], out *connect.ServerStream[wire.ReadChunk]) error {
 	v := s.owned(r.Msg.Id, r.Msg.Workspace)
 	if v == nil {
--- a/internal/node/rest_test.go
+++ b/internal/node/rest_test.go
@@ -17,15 +17,15 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// rejectingUpstream refuses what reaches it and asks for rest. It counts requests, not the questions for its
-// load.
+// rejectingUpstream rejects each request and asks for a cooldown with Retry-After. It counts the requests,
+// but not the load queries.
 type rejectingUpstream struct {
 	received   atomic.Int64
 	status     int
 	retryAfter string
 }
 
-// ServeHTTP refuses one request.
+// ServeHTTP rejects one request.
 func (v *rejectingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/load") {
 		_, _ = fmt.Fprint(w, `{"slots":32}`)
@@ -36,14 +36,14 @@
 	w.WriteHeader(v.status)
 }
 
-func (r *rig) addRejecting(id, service, rest string) *rejectingUpstream {
-	v := &rejectingUpstream{status: http.StatusServiceUnavailable, retryAfter: rest}
+func (r *rig) addRejecting(id, service, retryAfter string) *rejectingUpstream {
+	v := &rejectingUpstream{status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	r.register(id, store.VM{Role: store.RoleUpstream, Service: service, Hall: "hall-a", Zone: "z0", Slots: 32}, v)
 	return v
 }
 
-// TestEngineCooldown: an engine that turns requests away and says for how long gets one from
-// a node in that time; each of 20 chats was sent there first.
+// TestEngineCooldown: an engine that rejects requests with a Retry-After gets at most one request from a node
+// in that time, instead of being the first choice for each of 20 chats.
 func TestEngineCooldown(t *testing.T) {
 	r := newRig(t, "hall-a")
 	v := r.addRejecting("e0", "llm", "20")
@@ -56,44 +56,44 @@
 	assert.LessOrEqual(t, v.received.Load(), int64(1))
 }
 
-// TestServiceCooldown is the same for a plain service, and for callers when nobody else is
-// left: they are told the time that is left, not a second.
+// TestServiceCooldown is the same for a plain service.
 func TestServiceCooldown(t *testing.T) {
 	r := newRig(t, "hall-a")
 	v := r.addRejecting("p0", "orders", "20")
 	n := r.nodes[0]
-	r.eventually("it is known", func() bool { return n.upstreams("orders") == 2 })
+	r.eventually("the service is known", func() bool { return n.upstreams("orders") == 2 })
 	for range 20 {
 		assert.Equal(t, http.StatusOK, n.call(http.MethodPost, "/s/orders/again", "{}").status)
 	}
 	assert.LessOrEqual(t, v.received.Load(), int64(1))
 }
 
-// TestAllEnginesInCooldown: callers are told when the first engine can take them.
+// TestAllEnginesInCooldown: callers are told the remaining time until the first engine accepts requests
+// again, instead of a fixed second.
 func TestAllEnginesInCooldown(t *testing.T) {
 	r := newRig(t, "hall-a")
 	list := []*rejectingUpstream{r.addRejecting("e0", "llm", "20"), r.addRejecting("e1", "llm", "30")}
 	r.waitEngines(2)
 	n := r.nodes[0]
-	r.eventually("both are asked", func() bool {
+	r.eventually("both have received a request", func() bool {
 		_ = r.chat(n, newChat("chat", fmt.Sprint("p", time.Now().UnixNano()), 2, true))
 		return list[0].received.Load() > 0 && list[1].received.Load() > 0
 	})
-	was := list[0].received.Load() + list[1].received.Load()
+	before := list[0].received.Load() + list[1].received.Load()
 	a := r.chat(n, newChat("chat", "q", 2, true))
 	assert.Equal(t, http.StatusServiceUnavailable, a.status, a.body)
-	assert.Equal(t, was, list[0].received.Load()+list[1].received.Load())
+	assert.Equal(t, before, list[0].received.Load()+list[1].received.Load())
 	assert.Contains(t, []string{"20", "19", "18", "17"}, a.header.Get("Retry-After"))
 }
 
-// TestCallersOfEnginesInCooldownReturnSpread: callers beyond those that there is room for at once are told later times;
-// told the same second, all 400 came back in it.
+// TestCallersOfEnginesInCooldownReturnSpread: callers beyond the free capacity are told later times. If all
+// are told the same second, all 400 return in it.
 func TestCallersOfEnginesInCooldownReturnSpread(t *testing.T) {
 	r := newRig(t, "hall-a")
 	v := r.addRejecting("e0", "llm", "20")
 	r.waitEngines(1)
 	n := r.nodes[0]
-	r.eventually("it is asked", func() bool {
+	r.eventually("the engine has received a request", func() bool {
 		_ = r.chat(n, newChat("chat", fmt.Sprint("p", time.Now().UnixNano()), 2, true))
 		return v.received.Load() > 0
 	})
--- a/internal/node/revision_test.go
+++ b/internal/node/revision_test.go
@@ -13,7 +13,7 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-// edit applies a change that only the workspace's parameters differ by.
+// edit applies the rig's documents again as a new revision.
 func (r *rig) edit(n *rigNode, base uint64, author string) (config.Snapshot, error) {
 	docs, err := config.Parse("edit", []byte(fmt.Sprintf(rigTemplate, config.HashKey(rigKey))))
 	require.NoError(r.t, err)
@@ -53,9 +53,9 @@
 	if a.err != nil {
 		a, b = b, a
 	}
-	require.NoError(t, a.err, "exactly one wins")
+	require.NoError(t, a.err, "exactly one operator succeeds")
 	require.ErrorIs(t, b.err, config.ErrConflict)
-	assert.Contains(t, b.err.Error(), a.s.Author, "the other is told who was faster")
+	assert.Contains(t, b.err.Error(), a.s.Author, "the conflict names the other author")
 	r.waitInForce(2)
 }
 
@@ -63,8 +63,8 @@
 	r := newRig(t, "hall-a", "hall-b")
 	r.platform.Fault(standin.Fault{Mode: standin.FaultLose, Path: "/v3/kv/txn", Count: 1})
 	s, err := r.edit(r.nodes[0], 1, "ada")
-	// A claim or a journal write of another duty may have taken the fault; either way
-	// the change is in force once.
+	// A claim or a journal write of another duty may have consumed the fault; either way the change is in
+	// force once.
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, s.Revision)
 	r.waitInForce(2)
@@ -82,16 +82,16 @@
 	require.NoError(t, err)
 	r.nodes[0].platformCut.Store(true)
 	r.waitInForce(2)
-	t.Run("a node started in the outage gets it from a peer", func(t *testing.T) {
+	t.Run("a node started in the outage pulls it from a peer", func(t *testing.T) {
 		n := r.addNode("n9", "hall-b")
 		n.platformCut.Store(true)
 		r.waitInForce(2)
 	})
-	t.Run("a stale read never takes it back", func(t *testing.T) {
+	t.Run("a stale read never reverts it", func(t *testing.T) {
 		old, err := r.nodes[0].Store().Get(context.Background(), 1)
 		if err != nil {
 			r.restore()
-			r.eventually("the platform is back", func() bool {
+			r.eventually("the platform is available again", func() bool {
 				old, err = r.nodes[0].Store().Get(context.Background(), 1)
 				return err == nil
 			})
@@ -105,10 +105,10 @@
 
 func TestHallPartitionedAndRejoined(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b", "hall-b")
-	cut := func(on bool) {
+	partition := func(active bool) {
 		for _, b := range r.nodes[1:] {
-			b.platformCut.Store(on)
-			if on {
+			b.platformCut.Store(active)
+			if active {
 				b.blockedPeers.Store(r.nodes[0].o.PeerAddress, true)
 				r.nodes[0].blockedPeers.Store(b.o.PeerAddress, true)
 			} else {
@@ -117,12 +117,12 @@
 			}
 		}
 	}
-	cut(true)
+	partition(true)
 	_, err := r.edit(r.nodes[0], 1, "ada")
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, r.nodes[1].View().Revision())
-	assert.Equal(t, "done", r.nodes[1].call("GET", "/s/orders/x", "").outcome, "a hall that is cut off goes on serving")
-	cut(false)
+	assert.Equal(t, "done", r.nodes[1].call("GET", "/s/orders/x", "").outcome, "a partitioned hall continues to serve")
+	partition(false)
 	r.waitInForce(2)
 }
 
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -24,7 +24,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// rig is a few nodes in this process with the stand-ins they need, all on loopback.
+// rig is a set of nodes in this process with the stand-ins that they need, all on loopback.
 type rig struct {
 	t        testing.TB
 	exchange time.Duration
@@ -46,8 +46,8 @@
 type rigNode struct {
 	*Node
 	callers      string
-	platformCut  atomic.Bool // cut off from the platform
-	blockedPeers sync.Map    // peer addresses that this node is cut off from
+	platformCut  atomic.Bool // the platform is unreachable for this node
+	blockedPeers sync.Map    // peer addresses that this node cannot reach
 	servers      []*httptest.Server
 	stopped      sync.Once
 }
@@ -101,9 +101,8 @@
 	return r
 }
 
-// configure applies the rig's documents. Nodes give a call up after half a second, which
-// a loaded machine may need, so it goes on as an operator does: until the documents are
-// the head.
+// configure applies the rig's documents. Nodes abandon a call after half a second, which a loaded machine may
+// need, so it retries until the documents are the head revision.
 func (r *rig) configure() {
 	docs, err := config.Parse("rig", []byte(fmt.Sprintf(rigTemplate, config.HashKey(rigKey))))
 	require.NoError(r.t, err)
@@ -237,7 +236,7 @@
 	return w
 }
 
-// kill ends a node as a lost VM would: no word to anybody.
+// kill stops a node like the loss of its VM: without any announcement.
 func (n *rigNode) kill() {
 	n.stopped.Do(func() {
 		for _, s := range n.servers {
@@ -274,7 +273,7 @@
 	return len(n.table.Select(func(f *member.Fact) bool { return f.Service == service && f.Status == member.StatusLive }))
 }
 
-// waitEngines waits until every node knows so many live engines.
+// waitEngines waits until every node knows k live engines.
 func (r *rig) waitEngines(k int) {
 	r.t.Helper()
 	r.eventually("the engines are known", func() bool {
@@ -297,7 +296,7 @@
 	require.Eventually(r.t, ok, 30*time.Second, 10*time.Millisecond, what)
 }
 
-// dump logs the state and the time line of every node.
+// dump logs the state and the timeline of every node.
 func (r *rig) dump() {
 	for _, n := range r.nodes {
 		r.t.Logf("%s: %s, synced %v, live %d, members %d, revision %d", n.ID(), n.State(), n.Claims().Synced(), len(n.liveNodes()), len(n.Claims().View()), n.View().Revision())
@@ -307,12 +306,12 @@
 	}
 }
 
-// outage cuts every node off from the platform and waits until they know.
+// outage makes the platform unreachable for every node and waits until they have detected it.
 func (r *rig) outage() {
 	for _, n := range r.nodes {
 		n.platformCut.Store(true)
 	}
-	r.eventually("the outage is noticed", func() bool {
+	r.eventually("the outage is detected", func() bool {
 		for _, n := range r.nodes {
 			if n.guard.Up() || n.peers.anyPeerHasPlatform() {
 				return false
@@ -365,7 +364,7 @@
 	return n.call(http.MethodPost, "/s/orders"+path, "{}", "Idempotency-Key", key)
 }
 
-// chat is a prompt with its whole answer.
+// chat is the body of a chat request with its expected complete response.
 type chat struct {
 	body, want string
 }
@@ -376,7 +375,7 @@
 	return chat{body: string(b), want: standin.Answer(standin.Prompt(m), tokens)}
 }
 
-// content puts a streamed answer together.
+// content joins the pieces of a streamed response.
 func content(body string) string {
 	var b strings.Builder
 	standin.EachEvent(strings.NewReader(body), func(c string) { b.WriteString(c) })
@@ -387,7 +386,7 @@
 	return n.call(http.MethodPost, "/v1/chat/completions", c.body)
 }
 
-// assertComplete checks that a stream is the whole answer to its own prompt.
+// assertComplete checks that a stream is the complete response to its own prompt.
 func assertComplete(t *testing.T, c chat, a response) {
 	t.Helper()
 	require.NoError(t, a.err)
@@ -396,7 +395,7 @@
 	require.Equal(t, "done", a.outcome)
 }
 
-// jobResult waits for a job, asked for at a node, and returns its answer.
+// jobResult waits until a node reports a job as done, and returns the job's response.
 func (r *rig) jobResult(n *rigNode, id string) string {
 	r.t.Helper()
 	var text string
@@ -418,11 +417,12 @@
 	return text
 }
 
-// assertNoIllegalTransition fails the test if any node took a step that a chart doesn't allow.
+// assertNoIllegalTransition fails the test if any node attempted a transition that its state chart does not
+// allow.
 func (r *rig) assertNoIllegalTransition() {
 	for _, n := range r.nodes {
 		if n.hasEvent("transition_not_allowed") {
-			r.t.Errorf("%s took a step that its chart doesn't allow", n.ID())
+			r.t.Errorf("%s attempted a transition that its state chart does not allow", n.ID())
 			r.dump()
 		}
 	}
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -13,22 +13,21 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file leads a hall's VM orders, when this node holds the hall's lease. Without
-// the platform nobody holds it and nothing is ordered; serving goes on. Every order
-// carries the fencing token, which the cloud checks, and is looked up right before
-// it is given.
+// This file orders a hall's VMs while this node holds the hall's lease. During a platform outage no node
+// holds it and nothing is ordered; serving continues. Every order carries the fencing token, which the cloud
+// checks and which is read immediately before the order is placed.
 
 const (
 	leaderTTL  = 6 * time.Second
 	leaderKey  = "/spurhall/halls/%s/leader"
 	scaleEvery = 2 * time.Second
-	demandGain = 0.2
-	// leaderCandidates is how many nodes of a hall try to lead it, so that the tries don't
-	// grow with the fleet.
+	demandGain = 0.2 // weight of a new sample in the smoothed demand
+	// leaderCandidates is the number of nodes of a hall that try to acquire the lease, so that the attempts
+	// do not grow with the fleet.
 	leaderCandidates = 2
 )
 
-// scaler is the leader's state. It starts anew with each term.
+// scaler is the leader's state. Its pools are reset with each term.
 type scaler struct {
 	n         *Node
 	lease     *lease.Lease
@@ -91,8 +90,8 @@
 	}
 }
 
-// observePool returns the pool's live VMs in this hall, and brings its demand up to date:
-// what runs counts as live work, what waits as batch, which can wait for a VM.
+// observePool returns the pool's live VMs in this hall and updates its demand: running requests count as live
+// work, queued ones as batch work, which can wait for a VM.
 func (s *scaler) observePool(pool string, v *poolScale) []autoscale.VM {
 	facts := s.n.table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Service == pool && f.Hall == s.n.o.Hall && f.Status == member.StatusLive
@@ -115,8 +114,8 @@
 	return vms
 }
 
-// placeOrder gives one order. A start without an answer counts as accepted: its id is
-// unique, and if it was lost the next plan asks again when it is overdue.
+// placeOrder places one order. A start without a response counts as accepted: its id is unique, and if the
+// order was lost, a later plan repeats it when it is overdue.
 func (s *scaler) placeOrder(ctx context.Context, pool string, v *poolScale, now time.Duration, o autoscale.Order) {
 	token, ok := s.lease.Token()
 	if !ok {
--- a/internal/node/scale_test.go
+++ b/internal/node/scale_test.go
@@ -11,8 +11,8 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// TestHallLeaderOrdersVMs: a queue builds up, the hall's leader orders VMs, goes round
-// a zone that refuses, and after it is lost the next leader orders with a higher token.
+// TestHallLeaderOrdersVMs: a queue builds up and the hall's leader orders VMs, avoiding a zone that rejects
+// orders. After the leader is lost, the next one orders with a higher fencing token.
 func TestHallLeaderOrdersVMs(t *testing.T) {
 	r := newRigWith(t, func(o *Options) { o.Autoscale = true }, "hall-a", "hall-a")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Slots: 1, Decode: 100 * time.Millisecond})
@@ -27,11 +27,11 @@
 	r.eventually("VMs are ordered", func() bool { return len(r.platform.Ordered()) > 0 })
 	list := r.platform.Ordered()
 	for _, o := range list {
-		assert.Equal(t, "z3", o.Zone, "the other zone refuses")
+		assert.Equal(t, "z3", o.Zone, "the other zone rejects orders")
 	}
-	// The order is at the platform before the leader has its answer and says so.
+	// The platform receives the order before the leader has the response and records its event.
 	leader := -1
-	r.eventually("the leader says so", func() bool {
+	r.eventually("the leader records its order", func() bool {
 		leader = slices.IndexFunc(r.nodes, func(n *rigNode) bool { return n.hasEvent("vm_start_ordered") })
 		return leader >= 0
 	})
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -18,9 +18,9 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-// This file is the life of an accepted model request on this node: it is run into
-// its record; a job is held in two fault domains first and journalled at the end;
-// and a request that another node has is found and followed.
+// This file handles an accepted model request on this node: it is run into its record; a job is first held in
+// two fault domains and is journalled at the end; and a request that another node holds is found and
+// followed.
 
 // start runs a request in a goroutine of its own.
 func (n *Node) start(r *request.Request) {
@@ -32,14 +32,15 @@
 	}()
 }
 
-// run takes a request to its end. ended is called when nothing is sent for it any more,
-// which may be long before its answer is journalled.
+// run runs a request to completion. It calls ended when nothing more is sent for the request, which may be
+// long before its response is journalled.
 func (n *Node) run(ctx context.Context, r *request.Request, ended func()) {
 	defer ended()
 	w := n.view.Named(r.Workspace())
 	p, err := ingress.ParseChat(r.Body())
 	if w == nil || w.Service(r.Service()) == nil || err != nil {
-		// Its workspace was deleted after it was accepted: there is nothing to run it by.
+		// Its workspace or service was deleted after the request was accepted, so the settings to run it with
+		// are gone.
 		r.Record().Finish(stream.OutcomeNotRun, "the workspace or service no longer exists", 0, n.clock.Now())
 		ingress.Outcomes.Add(string(stream.OutcomeNotRun), 1)
 		return
@@ -64,12 +65,13 @@
 	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Pieces), r.Record().Attempt()))
 }
 
-// jobDeadline is how long an accepted job is tried.
+// jobDeadline is how long an accepted job is attempted.
 const jobDeadline = 24 * time.Hour
 
 const journalRetryInterval = 500 * time.Millisecond
 
-// journalResponse writes a job's answer down, however long the platform is out.
+// journalResponse writes a job's response to the journal. It retries for as long as the platform is
+// unavailable.
 func (n *Node) journalResponse(r *request.Request) {
 	for n.ctx.Err() == nil {
 		err := n.journal.Finish(n.ctx, r.Spec(), func(owner string) bool {
@@ -88,11 +90,11 @@
 	}
 }
 
-// errNoHolder says that no second place could be found to hold a job in.
+// errNoHolder reports that no second fault domain was found to hold a job in.
 var errNoHolder = errs.NewType("no_holder").New("it could not be held in a second place, neither by the platform nor by a peer")
 
-// acceptJob holds a job in two fault domains: this VM, and the platform, or else a
-// peer in another hall, or else a peer in this one.
+// acceptJob holds a job in two fault domains: on this VM, and on the platform or, failing that, on a peer in
+// another hall, or else on a peer in this one.
 func (n *Node) acceptJob(ctx context.Context, r *request.Request) (string, error) {
 	x, cancel := context.WithTimeout(ctx, acceptTimeout)
 	err := n.journal.Accept(x, r.Spec())
@@ -123,8 +125,8 @@
 
 const acceptTimeout = 2 * time.Second
 
-// holderCandidates lists the other live nodes in the order in which they hold a request,
-// those of other halls first.
+// holderCandidates lists the other live nodes in the order in which they are asked to hold a request, those
+// of other halls first.
 func (n *Node) holderCandidates(id string) []member.Seen {
 	byID := make(map[string]member.Seen)
 	var far, near []string
@@ -156,7 +158,7 @@
 	return err
 }
 
-// dropCopies tells the holders that a job is over.
+// dropCopies tells the holders of copies that a job has finished.
 func (n *Node) dropCopies(id string) {
 	for i, f := range n.holderCandidates(id) {
 		if i == maxFindPeers {
@@ -168,11 +170,11 @@
 	}
 }
 
-// maxFindPeers is how many nodes are asked for a request, after its first owner.
+// maxFindPeers is the number of nodes that are asked for a request, after its first owner.
 const maxFindPeers = 3
 
-// find looks for a request that isn't held here: at the node that named it, at those
-// that it would have been handed to, and in the journal.
+// find looks for a request that is not held on this node: at the node that issued its id, at the nodes that
+// it would have been handed over to, and in the journal.
 func (n *Node) find(ctx context.Context, id, workspace string) *request.Request {
 	for _, f := range n.likelyHolders(id) {
 		if r := n.findAt(ctx, f.Fact, id, workspace); r != nil {
@@ -188,15 +190,15 @@
 	return request.New(s)
 }
 
-// likelyHolders lists the nodes that may have a request, the likeliest first.
+// likelyHolders lists the nodes that may have a request, the most likely first.
 func (n *Node) likelyHolders(id string) []member.Seen {
 	var r []member.Seen
 	owner := ingress.OwnerOf(id)
 	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.peerTimeout(&f.Fact) {
 		r = append(r, f)
 	}
-	// A request is handed over by rank, near and far alike, so the order here must
-	// not depend on this node's own hall.
+	// The hand-over ranks nodes regardless of their hall, so the order here must not depend on this node's
+	// own hall.
 	byID := make(map[string]member.Seen)
 	var ids []string
 	for _, f := range n.liveNodes() {
@@ -214,7 +216,7 @@
 	return r
 }
 
-// findAt asks one node and, if it has the request, follows its answer there.
+// findAt asks one node for a request and, if the node has it, follows the response there.
 func (n *Node) findAt(ctx context.Context, f member.Fact, id, workspace string) *request.Request {
 	if n.peers.blocked(f.Address) {
 		return nil
@@ -233,8 +235,8 @@
 	return r
 }
 
-// follow copies an answer that grows on another node into a record here. When that
-// node goes away the request is looked for again, until its deadline.
+// follow copies the response that another node is producing into a local record. When that node becomes
+// unavailable, the request is looked up again, until followTimeout.
 func (n *Node) follow(r *request.Request, f member.Fact) {
 	ctx, cancel := context.WithTimeout(n.ctx, followTimeout)
 	defer cancel()
@@ -291,15 +293,15 @@
 
 const (
 	jobPollInterval = 2 * time.Second
-	// orphanAfter is how long the owner of a job must have been silent before another
-	// node takes the job over. Too early costs tokens, never a second answer.
+	// orphanAfter is how long the owner of a job must have been unresponsive, beyond hallTimeout, before
+	// another node takes the job over. Too early a takeover costs tokens but never leads to a second
+	// response.
 	orphanAfter = 3 * time.Second
 )
 
-// watchJobs takes over the jobs of owners that are gone. One node of each hall follows
-// the journal: the loss of a node of its own hall is seen soonest there, and
-// compare-and-swap settles who of several takes a job. Copies held for a peer are
-// looked after by their holder.
+// watchJobs takes over the jobs of owners that are gone. One node of each hall follows the journal: a hall
+// detects the loss of its own nodes first, and compare-and-swap decides which of several nodes takes over a
+// job. Copies held for a peer are watched by their holder.
 func (n *Node) watchJobs(ctx context.Context) {
 	n.startDuty(n.followJournal)
 	n.clock.Every(ctx, jobPollInterval, func(time.Time) {
@@ -310,8 +312,7 @@
 	})
 }
 
-// followJournal keeps the owners of the open jobs, while this node is the one of its
-// hall to do so.
+// followJournal tracks the owners of the open jobs while this node has that duty in its hall.
 func (n *Node) followJournal(ctx context.Context) {
 	for n.clock.Sleep(ctx, jobPollInterval) == nil {
 		if !n.hasDuty("jobs", 1) {
@@ -366,8 +367,8 @@
 	return n.clock.Since(f.At) > orphanAfter+n.hallTimeout() && !n.responds(&f.Fact)
 }
 
-// responds asks a node directly: one of another hall is heard of so seldom that its
-// silence alone says little.
+// responds queries a node directly: facts about a node of another hall arrive so rarely that their absence
+// alone proves little.
 func (n *Node) responds(f *member.Fact) bool {
 	if n.peers.blocked(f.Address) {
 		return false
@@ -378,8 +379,7 @@
 	return err == nil
 }
 
-// peerTimeout is how long another node may be silent before it counts as gone for
-// serving.
+// peerTimeout is how long no fact about a node may arrive before the node counts as gone for serving.
 func (n *Node) peerTimeout(f *member.Fact) time.Duration {
 	if f.Hall != n.o.Hall {
 		return n.hallTimeout() + 2*n.currentIntervals().crossHallInterval
@@ -401,13 +401,13 @@
 	}
 }
 
-// adopt runs a request that another node had, from where it was.
+// adopt continues a request of another node from its last known piece.
 func (n *Node) adopt(s request.Spec) {
 	if s.Owner != n.id {
 		s.From, s.Owner = s.Owner, n.id
 	}
 	if old := n.registry.Get(s.ID); old != nil {
-		// A copy held here may be further than what was written down.
+		// The local copy may have more pieces than the handed-over or journalled one.
 		if p := old.Record().Pieces(); len(p) > len(s.Pieces) {
 			s.Pieces = p
 		}
@@ -417,7 +417,7 @@
 	n.start(r)
 }
 
-// runOrphanCopies runs the jobs held for peers that have gone silent.
+// runOrphanCopies runs the jobs held for peers that have become unresponsive.
 func (n *Node) runOrphanCopies() {
 	list := n.registry.List(func(r *request.Request) bool {
 		return r.Owner() != n.id && r.Record().Read(0).Outcome == stream.OutcomeOpen
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -24,7 +24,7 @@
 	timePattern = regexp.MustCompile(`"created":\d+`)
 )
 
-// session writes down what callers see, with ids in the order of their first showing.
+// session records what callers see, with ids numbered in the order of their first appearance.
 type session struct {
 	out strings.Builder
 	ids map[string]string
@@ -50,8 +50,8 @@
 	fmt.Fprintf(&s.out, "\n%s\n\n", strings.TrimSpace(s.maskVolatile(a.body)))
 }
 
-// TestSession is a session of a shop and its operators: calls of each kind, mistakes, a
-// key used twice, a race of two operators, an outage.
+// TestSession records a session of callers and operators: calls of each kind, mistakes, a key used twice, two
+// concurrent operators, an outage.
 func TestSession(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Decode: time.Millisecond})
@@ -68,9 +68,9 @@
 	call("unknown path", http.MethodGet, "/nothing", "")
 	call("wrong key", http.MethodGet, "/s/orders/x", "", "Authorization", "Bearer no")
 	call("keyed call", http.MethodPost, "/s/orders/refuse", "{}", "Idempotency-Key", "k1")
-	r.eventually("the answer is on record", func() bool { return n.keyed("/refuse", "k1").status == http.StatusOK })
+	r.eventually("the response is recorded", func() bool { return n.keyed("/refuse", "k1").status == http.StatusOK })
 	a := n.keyed("/refuse", "k1")
-	a.header.Del("X-Request-Id") // how many were asked meanwhile varies
+	a.header.Del("X-Request-Id") // the number of calls until then varies
 	s.record("the same key again", a)
 	k := newChat("chat", "hello", 3, true)
 	a = call("streamed chat", http.MethodPost, "/v1/chat/completions", k.body)
@@ -96,8 +96,8 @@
 	goldie.New(t).Assert(t, "session", []byte(s.out.String()))
 }
 
-// TestIdleAndSlowCallersBlockNoOthers: a thousand connections that say nothing and some
-// that send a byte now and then stand beside ordinary callers.
+// TestIdleAndSlowCallersBlockNoOthers: ordinary calls are served beside a thousand connections, most of them
+// idle and some with an incomplete request.
 func TestIdleAndSlowCallersBlockNoOthers(t *testing.T) {
 	r := newRig(t, "hall-a")
 	var list []net.Conn
@@ -117,5 +117,5 @@
 	for i := 0; i < 50; i++ {
 		assert.Equal(t, "done", r.nodes[0].call(http.MethodGet, "/s/orders/x", "").outcome)
 	}
-	assert.Zero(t, r.plain.Runs()[""], "a call that didn't arrive whole has run nothing")
+	assert.Zero(t, r.plain.Runs()[""], "an incomplete call must not run")
 }
--- a/internal/node/speed_test.go
+++ b/internal/node/speed_test.go
@@ -36,9 +36,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkPlainCall compares a direct call to the stand-in, whose work takes 1 ms,
-// with the same call through a node, and with keyed calls: claimed, and promised in an
-// outage. One caller at a time.
+// BenchmarkPlainCall compares a direct call to the stand-in, whose work takes 1 ms, with the same call
+// through a node and with keyed calls: claimed, and promised in an outage. One caller at a time.
 func BenchmarkPlainCall(b *testing.B) {
 	r := newRigWith(b, func(*Options) {}, "hall-a", "hall-a", "hall-b")
 	f, _ := r.nodes[0].table.Get("o1")
@@ -70,9 +69,8 @@
 	})
 }
 
-// BenchmarkStream compares the tokens of a stream direct from the engine with those
-// through a node. Allocations and processor time are of the whole process, engine and
-// caller included.
+// BenchmarkStream compares streaming directly from the engine with streaming through a node. Allocations and
+// processor time are those of the whole process, engine and caller included.
 func BenchmarkStream(b *testing.B) {
 	r := newRigWith(b, func(*Options) {}, "hall-a")
 	e := r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Decode: time.Microsecond, Slots: 64})
@@ -106,8 +104,8 @@
 	return newRigWith(b, func(o *Options) { o.ExchangeInterval = time.Second }, "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c")
 }
 
-// BenchmarkLeaving: from the notice until every node knows, with the VM list 30 s
-// behind and one node cut off from the platform and from a peer.
+// BenchmarkLeaving measures the time from the notice until every node knows of it, with the VM list 30 s
+// stale and one node partitioned from the platform and from a peer.
 func BenchmarkLeaving(b *testing.B) {
 	r := sixNodes(b)
 	const engines = 20
@@ -121,7 +119,7 @@
 	reportTimes(b, measureEach(engines-1, func(i int) {
 		id := fmt.Sprintf("e%d", i)
 		r.platform.Notice(id, 20*time.Second)
-		r.eventually("every node knows", func() bool {
+		r.eventually("every node knows that the engine is leaving", func() bool {
 			for _, n := range r.nodes {
 				if f, _ := n.table.Get(id); f.Status != member.StatusLeaving {
 					return false
@@ -132,8 +130,8 @@
 	}))
 }
 
-// BenchmarkConfigInForce: from the accept until the revision is in force at each of
-// six nodes in three halls.
+// BenchmarkConfigInForce measures the time from applying a revision until it is in force at each of six nodes
+// in three halls.
 func BenchmarkConfigInForce(b *testing.B) {
 	r := sixNodes(b)
 	reportTimes(b, measureEach(20, func(i int) {
@@ -146,22 +144,21 @@
 	}))
 }
 
-// BenchmarkPlannedStop: a node stops with 200 streams in flight, of 100 tokens at
-// 20 ms each.
+// BenchmarkPlannedStop measures a planned stop with 200 streams in flight, of 100 tokens at 20 ms each.
 func BenchmarkPlannedStop(b *testing.B) {
 	r := newRigWith(b, func(*Options) {}, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Slots: 400, Decode: 20 * time.Millisecond})
 	r.waitEngines(1)
 	before := heapInUse()
 	const streams = 200
-	whole := make([]bool, streams)
+	complete := make([]bool, streams)
 	var wait sync.WaitGroup
 	for i := 0; i < streams; i++ {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			k := newChat("chat", fmt.Sprintf("prompt %d", i), 100, true)
-			whole[i] = content(r.chat(r.nodes[0], k).body) == k.want
+			complete[i] = content(r.chat(r.nodes[0], k).body) == k.want
 		}()
 	}
 	r.eventually("the streams run", func() bool { return r.nodes[0].openRequests() == streams })
@@ -171,7 +168,7 @@
 	took := time.Since(start)
 	wait.Wait()
 	n := 0
-	for _, w := range whole {
+	for _, w := range complete {
 		if w {
 			n++
 		}
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-// assertOutcomesTrue compares every answer with the services' run logs.
+// assertOutcomesTrue compares every response's outcome with the services' run logs.
 func (r *rig) assertOutcomesTrue(list []response) {
 	r.t.Helper()
 	runs := r.plain.Runs()
@@ -26,11 +26,11 @@
 	}
 	for _, a := range list {
 		if a.err != nil {
-			continue // a cut connection tells nothing
+			continue // a severed connection has no outcome
 		}
 		assert.NotEmpty(r.t, a.outcome, "status %d: %s", a.status, a.body)
 		if a.outcome == "not-run" {
-			assert.Zero(r.t, runs[a.id], "told not-run, and ran: %s", a.body)
+			assert.Zero(r.t, runs[a.id], "reported as not-run, but ran: %s", a.body)
 			assert.True(r.t, a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests, a.status)
 			assert.NotEmpty(r.t, a.header.Get("Retry-After"))
 		}
@@ -67,8 +67,8 @@
 			r.assertOutcomesTrue(list)
 		})
 	}
-	t.Run("a later attempt takes nothing back", func(t *testing.T) {
-		// The only service runs the call and loses the answer. The retry finds nobody.
+	t.Run("a later attempt does not change the outcome to not-run", func(t *testing.T) {
+		// The only service runs the call and loses the response. The retry finds no other upstream.
 		r := newRig(t, "hall-a", "hall-b")
 		r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{}).Fault(standin.Fault{Mode: standin.FaultLose, Path: "/v1/chat"})
 		r.waitEngines(1)
@@ -99,13 +99,13 @@
 			}()
 		}
 		wait.Wait()
-		refused := 0
+		rejected := 0
 		for _, a := range list {
 			if a.outcome == "not-run" {
-				refused++
+				rejected++
 			}
 		}
-		assert.NotZero(t, refused, "the pool can't have taken all of them in time")
+		assert.NotZero(t, rejected, "the pool cannot have accepted all of them in time")
 		r.assertOutcomesTrue(list)
 	})
 	t.Run("draining", func(t *testing.T) {
@@ -126,8 +126,8 @@
 	})
 }
 
-// An answer is given up at once, not held to its deadline: the service is gone, and
-// the call's timeout is 2 s.
+// A call that cannot be served fails at once, not at its deadline: the service is gone, and the call's
+// timeout is 2 s.
 func TestFailureIsReportedAtOnce(t *testing.T) {
 	r := newRig(t, "hall-a")
 	r.platform.Notice("o1", time.Minute)
@@ -167,11 +167,11 @@
 	r.waitEngines(1)
 	a := r.chat(r.nodes[0], newChat("chat", "hello", 20, true))
 	assert.NotEqual(t, "done", a.outcome)
-	assert.Empty(t, content(a.body), "not a token of an answer that isn't its own")
+	assert.Empty(t, content(a.body), "no token of a response to another request")
 	r.addEngine("e2", "hall-b", "z2", standin.EngineOptions{})
 	r.waitEngines(2)
 	k := newChat("chat", "hello", 20, true)
-	r.eventually("a sound engine answers", func() bool { return content(r.chat(r.nodes[0], k).body) == k.want })
+	r.eventually("a correct engine responds", func() bool { return content(r.chat(r.nodes[0], k).body) == k.want })
 }
 
 func TestResumeAtAWrongOffset(t *testing.T) {
@@ -192,11 +192,8 @@
 	assert.Equal(t, 20, len(strings.Fields(content(b.body))))
 }
 
-// A leaving engine gets nothing new: with the VM list 30 s behind, one peer cut off
-// from the platform and from another peer, and the engine's own 503 or the cloud's
-// notice as the only word.
-// A VM list that jumps back in time shows none of the VMs that came since. They are
-// not taken for gone: that would be for good, and they answer.
+// TestStaleVMList: a VM list that jumps back in time lacks all VMs that were created later. They must not be
+// marked as gone: that status is final, and they still respond.
 func TestStaleVMList(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{})
@@ -210,6 +207,8 @@
 	}
 }
 
+// TestLeavingEngineGetsNoNewRequests: a leaving engine gets no new requests, with the VM list 30 s stale, one node
+// partitioned from the platform and from a peer, and the engine's own 503 or the cloud's notice as the only signal.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	for _, source := range []string{"notice", "its own 503"} {
 		t.Run(source, func(t *testing.T) {
@@ -224,7 +223,7 @@
 			if source == "notice" {
 				r.platform.Notice("e1", 20*time.Second)
 			}
-			r.eventually("every node knows", func() bool {
+			r.eventually("every node knows that the engine is leaving", func() bool {
 				for i, n := range r.nodes {
 					_ = r.chat(n, newChat("chat", fmt.Sprintf("p%d %d", i, time.Now().UnixNano()), 2, true))
 					if f, _ := n.table.Get("e1"); f.Status != member.StatusLeaving {
