--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -276,6 +276,7 @@
 	hallTimeoutExchanges = 8
 )
 
+// liveNodes returns the live nodes whose last fact is recent enough, this node included.
 func (n *Node) liveNodes() []member.Seen {
 	now := n.clock.Now()
 	n.mu.Lock()
@@ -283,9 +284,9 @@
 	if n.cachedLive != nil && now.Sub(n.cachedLiveAt) < liveCacheTTL && n.table.Nodes() == n.cachedLiveVersion {
 		return n.cachedLive
 	}
-	near := n.hallTimeout()
+	timeout := n.hallTimeout()
 	n.cachedLive = n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
-		limit := near
+		limit := timeout
 		if f.Hall != n.o.Hall {
 			limit += 2 * n.currentIntervals().crossHallInterval
 		}
@@ -302,12 +303,12 @@
 )
 
 const (
-	nodesPerHeartbeatExchange = 8 // nodes of the hall per round of exchanges between two heartbeats
-	loadIntervalPerVM         = 75 * time.Millisecond
+	nodesPerHeartbeatExchange = 8                     // nodes of the hall per round between heartbeats
+	loadIntervalPerVM         = 75 * time.Millisecond // load query interval per upstream of the hall
 	maxLoadInterval           = 5 * time.Second
-	crossHallIntervalPerNode  = 200 * time.Millisecond
+	crossHallIntervalPerNode  = 200 * time.Millisecond // by the live nodes of all halls
 	minCrossHallInterval      = 20 * time.Second
-	minHeartbeatExchanges     = 2
+	minHeartbeatExchanges     = 2 // rounds of exchanges
 )
 
 // publishOwnFact puts this node's current state into the table, from which it is sent to the peers.
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -207,8 +207,9 @@
 	}
 }
 
-// TestLeavingEngineGetsNoNewRequests: a leaving engine gets no new requests, with the VM list 30 s stale, one node
-// partitioned from the platform and from a peer, and the engine's own 503 or the cloud's notice as the only signal.
+// TestLeavingEngineGetsNoNewRequests: a leaving engine gets no new requests, with the VM list 30 s
+// stale, one node partitioned from the platform and from a peer, and the engine's own 503 or the cloud's
+// notice as the only signal.
 func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	for _, source := range []string{"notice", "its own 503"} {
 		t.Run(source, func(t *testing.T) {
