--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -110,7 +110,7 @@
 	}
 	for _, id := range route.Rank(r.ID(), ids) {
 		f := byID[id].Fact
-		if err := n.hold(n.ctx, f, s, false); err != nil {
+		if err := n.holdAt(n.ctx, f, s, false); err != nil {
 			n.log.Add("hand_over_failed", r.ID(), fmt.Sprintf("%s: %v", id, err))
 			continue
 		}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -31,7 +31,7 @@
 var errBlocked = errs.NewType("cut").New("cut off from the peer")
 
 const (
-	peersPerExchange    = 2
+	peersPerRound       = 2
 	peersPerUrgentRound = 8
 	factsPerMessage     = 1000
 	exchangeTimeout     = time.Second
@@ -55,8 +55,8 @@
 	mu     sync.Mutex
 	byID   map[string]*peer
 	urgent chan struct{}
-	turn   int
-	rounds int
+	turn   int // number of peer selections, which rotates them
+	rounds int // number of rounds, for the heartbeat
 }
 
 func newPeers(n *Node) *peers {
@@ -93,7 +93,7 @@
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c, stop := p.n.clock.After(p.n.o.ExchangeInterval)
-		k := peersPerExchange
+		k := peersPerRound
 		select {
 		case <-c:
 		case <-p.urgent:
@@ -142,8 +142,8 @@
 		return []member.Seen{all[rand.IntN(len(all))]}
 	}
 	list := ringPeers(near, p.n.id, p.turn, k)
-	if p.n.hasDuty("delegate", delegates) || len(near) == 0 {
-		if k > peersPerExchange {
+	if p.n.hasDuty("delegate", delegatesPerHall) || len(near) == 0 {
+		if k > peersPerRound {
 			list = append(list, p.delegatesOf(far)...)
 		} else if p.turn%crossHallEvery == 0 {
 			if d := p.delegatesOf(far); len(d) > 0 {
@@ -155,8 +155,8 @@
 }
 
 const (
-	delegates       = 2
-	randomPeerEvery = 29
+	delegatesPerHall = 2
+	randomPeerEvery  = 29
 )
 
 // splitByHall lists the other nodes: those of this hall and those of other halls.
@@ -200,7 +200,7 @@
 	var r []member.Seen
 	for _, ids := range halls {
 		for i, id := range route.Rank("delegate", ids) {
-			if i < delegates {
+			if i < delegatesPerHall {
 				r = append(r, byID[id])
 			}
 		}
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -29,17 +29,17 @@
 
 // scaler is the leader's state. Its pools are reset with each term.
 type scaler struct {
-	n         *Node
-	lease     *lease.Lease
-	pools     map[string]*poolScale
-	serial    int
-	startedAt time.Time
+	n           *Node
+	lease       *lease.Lease
+	pools       map[string]*poolScale
+	orderSerial int
+	startedAt   time.Time
 }
 
 type poolScale struct {
-	planner *autoscale.Planner
-	demand  autoscale.Demand
-	seen    map[string]bool
+	planner  *autoscale.Planner
+	demand   autoscale.Demand
+	knownVMs map[string]bool
 }
 
 func (n *Node) scale(ctx context.Context) {
@@ -74,7 +74,7 @@
 func (s *scaler) planPool(ctx context.Context, pool string, offers []store.Offer) {
 	v := s.pools[pool]
 	if v == nil {
-		v = &poolScale{planner: autoscale.New(autoscale.Defaults()), seen: make(map[string]bool)}
+		v = &poolScale{planner: autoscale.New(autoscale.Defaults()), knownVMs: make(map[string]bool)}
 		s.pools[pool] = v
 	}
 	vms := s.observePool(pool, v)
@@ -99,8 +99,8 @@
 	var vms []autoscale.VM
 	running, queued := 0.0, 0.0
 	for _, f := range facts {
-		if !v.seen[f.ID] {
-			v.seen[f.ID] = true
+		if !v.knownVMs[f.ID] {
+			v.knownVMs[f.ID] = true
 			v.planner.Arrived(f.Zone, f.Class, f.Reclaimable)
 		}
 		running += float64(f.Running)
@@ -126,10 +126,10 @@
 		_ = s.n.o.Cloud.Stop(ctx, o.Stop, token)
 		return
 	}
-	s.serial++
+	s.orderSerial++
 	f := o.Start
 	err := s.n.o.Cloud.Start(ctx, store.StartOrder{
-		ID: fmt.Sprintf("%s-%d-%d", s.n.o.Hall, token, s.serial), Service: pool, Hall: s.n.o.Hall,
+		ID: fmt.Sprintf("%s-%d-%d", s.n.o.Hall, token, s.orderSerial), Service: pool, Hall: s.n.o.Hall,
 		Zone: f.Zone, Class: f.Class, Reclaimable: f.Reclaimable, Fence: token,
 	})
 	if errors.Is(err, store.ErrRefused) {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -105,7 +105,7 @@
 	n.log.Add("job_not_journalled", r.ID(), err.Error())
 	uncertain := errors.Is(err, job.ErrUncertain)
 	for _, f := range n.holderCandidates(r.ID()) {
-		if n.hold(ctx, f.Fact, r.Spec(), true) == nil {
+		if n.holdAt(ctx, f.Fact, r.Spec(), true) == nil {
 			if f.Hall != n.o.Hall {
 				return "peer-other-hall", nil
 			}
@@ -148,7 +148,8 @@
 	return r
 }
 
-func (n *Node) hold(ctx context.Context, f member.Fact, s request.Spec, copyOnly bool) error {
+// holdAt asks a node to hold a request: to keep a copy of it, or to continue it.
+func (n *Node) holdAt(ctx context.Context, f member.Fact, s request.Spec, copyOnly bool) error {
 	if n.peers.blocked(f.Address) {
 		return errBlocked
 	}
