--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// errNoHolder reports that no second fault domain was found to hold a job in.
+// errNoHolder reports that no second holder was found for a job.
 var errNoHolder = errs.NewType("no_holder").New("it could not be held in a second place, neither by the platform nor by a peer")
 
 // acceptJob holds a job in two fault domains: on this VM, and on the platform or, failing that, on a peer in
