--- a/internal/node/cooldown_test.go
+++ b/internal/node/cooldown_test.go
@@ -106,5 +106,5 @@
 		least, most = min(least, s), max(most, s)
 	}
 	assert.GreaterOrEqual(t, most, least+2)
-	assert.LessOrEqual(t, most, 20+int(retry.SpreadMost/time.Second))
+	assert.LessOrEqual(t, most, 20+int(retry.MaxReturnSpread/time.Second))
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -96,7 +96,7 @@
 
 func (n *Node) handOverRequest(r *request.Request) {
 	var ids []string
-	byID := make(map[string]member.Seen)
+	byID := make(map[string]member.Record)
 	for _, f := range n.liveNodes() {
 		if f.ID != n.id {
 			ids = append(ids, f.ID)
@@ -115,7 +115,7 @@
 			continue
 		}
 		r.SetOwner(id)
-		n.log.Add("request_handed_over", r.ID(), fmt.Sprintf("to %s at offset %d", id, len(s.Pieces)))
+		n.log.Add("request_handed_over", r.ID(), fmt.Sprintf("to %s at offset %d", id, len(s.Tokens)))
 		if r.Job() {
 			n.transferJob(r.ID(), id)
 		}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -134,12 +134,12 @@
 //
 // Alternatives considered: peers at random. A pair that exchanges rarely has almost the whole table to send,
 // and the bytes grew with the square of the fleet.
-func (p *peers) choosePeers(k int) []member.Seen {
+func (p *peers) choosePeers(k int) []member.Record {
 	p.turn++
 	near, far := p.splitByHall()
 	if p.turn%randomPeerEvery == 0 && len(near)+len(far) > 0 {
-		all := append(append([]member.Seen(nil), near...), far...)
-		return []member.Seen{all[rand.IntN(len(all))]}
+		all := append(append([]member.Record(nil), near...), far...)
+		return []member.Record{all[rand.IntN(len(all))]}
 	}
 	list := ringPeers(near, p.n.id, p.turn, k)
 	if p.n.hasDuty("delegate", delegatesPerHall) || len(near) == 0 {
@@ -160,7 +160,7 @@
 )
 
 // splitByHall lists the other nodes: those of this hall and those of other halls.
-func (p *peers) splitByHall() (near, far []member.Seen) {
+func (p *peers) splitByHall() (near, far []member.Record) {
 	for _, f := range p.knownPeers() {
 		if f.Hall == p.n.o.Hall {
 			near = append(near, f)
@@ -172,17 +172,17 @@
 }
 
 // ringPeers returns k of the peers at distances 1, 2, 4 ... after id in the ring; turn rotates the selection.
-func ringPeers(near []member.Seen, id string, turn, k int) []member.Seen {
+func ringPeers(near []member.Record, id string, turn, k int) []member.Record {
 	n := len(near)
 	start := sort.Search(n, func(i int) bool { return near[i].ID > id })
-	var list []member.Seen
+	var list []member.Record
 	for d := 1; d <= n; d *= 2 {
 		list = append(list, near[(start+d-1)%n])
 	}
 	if len(list) <= k {
 		return list
 	}
-	r := make([]member.Seen, 0, k)
+	r := make([]member.Record, 0, k)
 	for i := 0; i < k; i++ {
 		r = append(r, list[(turn*k+i)%len(list)])
 	}
@@ -190,14 +190,14 @@
 }
 
 // delegatesOf returns the delegates of each other hall.
-func (p *peers) delegatesOf(far []member.Seen) []member.Seen {
+func (p *peers) delegatesOf(far []member.Record) []member.Record {
 	halls := make(map[string][]string)
-	byID := make(map[string]member.Seen, len(far))
+	byID := make(map[string]member.Record, len(far))
 	for _, f := range far {
 		halls[f.Hall] = append(halls[f.Hall], f.ID)
 		byID[f.ID] = f
 	}
-	var r []member.Seen
+	var r []member.Record
 	for _, ids := range halls {
 		for i, id := range route.Rank("delegate", ids) {
 			if i < delegatesPerHall {
@@ -210,9 +210,9 @@
 
 // knownPeers returns the other nodes that may be reachable. It includes unresponsive ones for
 // unresponsiveRetention, since a partition may end.
-func (p *peers) knownPeers() []member.Seen {
+func (p *peers) knownPeers() []member.Record {
 	now := p.n.clock.Now()
-	return p.n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
+	return p.n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
 		return f.Kind == member.KindNode && f.Status != member.StatusGone && f.ID != p.n.id && now.Sub(at) < unresponsiveRetention
 	})
 }
@@ -253,7 +253,7 @@
 	sent, have := v.sentPosition, v.receivedPosition
 	p.mu.Unlock()
 	f, known := p.n.table.Get(id)
-	facts, position := p.n.table.Since(member.Peer{ID: id, Sent: sent, Far: known && f.Hall != p.n.o.Hall}, factsPerMessage)
+	facts, position := p.n.table.Since(member.Peer{ID: id, Sent: sent, OtherHall: known && f.Hall != p.n.o.Hall}, factsPerMessage)
 	x, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	r, err := v.client.Exchange(x, connect.NewRequest(&wire.ExchangeRequest{
@@ -263,7 +263,7 @@
 		return
 	}
 	missing := p.mergeFacts(id, r.Msg.Facts)
-	p.n.dispatcher.Hear(r.Msg.Suspicions)
+	p.n.dispatcher.ApplySuspicions(r.Msg.Suspicions)
 	p.mu.Lock()
 	v.sentPosition, v.receivedPosition, v.platformUp, v.lastSeen = position, r.Msg.Position, r.Msg.PlatformUp, p.n.clock.Now()
 	if missing {
@@ -314,8 +314,8 @@
 // handleExchange serves an exchange that a peer started.
 func (p *peers) handleExchange(q *wire.ExchangeRequest) *wire.ExchangeResponse {
 	missing := p.mergeFacts(q.From, q.Facts)
-	p.n.dispatcher.Hear(q.Suspicions)
-	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, Far: q.Hall != p.n.o.Hall}, factsPerMessage)
+	p.n.dispatcher.ApplySuspicions(q.Suspicions)
+	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, OtherHall: q.Hall != p.n.o.Hall}, factsPerMessage)
 	f, ok := p.n.table.Get(q.From)
 	if ok {
 		v := p.get(q.From, f.Address)
@@ -410,7 +410,7 @@
 
 // SnapshotFromWire converts a configuration from its wire form.
 func SnapshotFromWire(w *wire.Snapshot) config.Snapshot {
-	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, Applied: time.UnixMilli(w.AppliedUnixMs)}
+	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, AppliedAt: time.UnixMilli(w.AppliedUnixMs)}
 	for _, d := range w.Documents {
 		s.Documents = append(s.Documents, config.Document{Name: d.Name, Kind: config.Kind(d.Kind), Body: string(d.Body)})
 	}
@@ -419,7 +419,7 @@
 
 // SnapshotToWire converts a configuration to its wire form.
 func SnapshotToWire(s *config.Snapshot) *wire.Snapshot {
-	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.Applied.UnixMilli()}
+	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.AppliedAt.UnixMilli()}
 	for _, d := range s.Documents {
 		w.Documents = append(w.Documents, &wire.Document{Name: d.Name, Kind: string(d.Kind), Body: []byte(d.Body)})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	table             *member.Table
 	view              *config.View
 	store             *config.Store
-	claims            *claim.Book
+	claims            *claim.Manager
 	journal           *job.Journal
 	registry          *request.Registry
 	dispatcher        *dispatch.Dispatcher
@@ -89,7 +89,7 @@
 	missingFromList   map[string]bool
 	openJobs          map[string]string // owners of the journal's open jobs by id, while this node follows the journal
 	sequence          uint64
-	cachedLive        []member.Seen // result of liveNodes
+	cachedLive        []member.Record // result of liveNodes
 	cachedLiveAt      time.Time
 	cachedLiveVersion uint64
 	intervals         atomic.Pointer[reportIntervals]
@@ -115,11 +115,11 @@
 	n.dispatcher = dispatch.New(dispatch.Options{
 		Node: id, Hall: o.Hall, Clock: o.Clock, Client: n.client, Table: n.table, Policy: o.Policy, Distance: o.CrossHallLatency,
 		Nodes: func() int { return len(n.liveNodes()) },
-		Event: n.log.Add, Urgent: n.peers.exchangeNow, Reaches: n.peers.hallReachable,
+		Event: n.log.Add, ExchangeSoon: n.peers.exchangeNow, HallReachable: n.peers.hallReachable,
 	})
-	n.claims = claim.NewBook(claim.Options{
+	n.claims = claim.NewManager(claim.Options{
 		Member: claim.Member{ID: id, Hall: o.Hall, Address: o.PeerAddress, VM: o.VM}, KV: n.kv, Up: n.guard.Up,
-		PeerUp: n.peers.anyPeerHasPlatform, Clock: o.Clock, Send: n.peers.sendClaim, Behalf: n.peers.claimByProxy, EraseBehalf: n.peers.eraseByProxy,
+		PeerUp: n.peers.anyPeerHasPlatform, Clock: o.Clock, Send: n.peers.sendClaim, ProxyWrite: n.peers.claimByProxy, ProxyErase: n.peers.eraseByProxy,
 		Event:    func(name, detail string) { n.log.Add(name, "", detail) },
 		Interval: claimInterval, Timeout: promiseTimeout,
 	})
@@ -174,7 +174,7 @@
 func (n *Node) Registry() *request.Registry { return n.registry }
 
 // Claims returns the node's claims.
-func (n *Node) Claims() *claim.Book { return n.claims }
+func (n *Node) Claims() *claim.Manager { return n.claims }
 
 // Clock returns the node's clock.
 func (n *Node) Clock() *timer.Service { return n.clock }
@@ -190,13 +190,13 @@
 
 // Accept puts a snapshot in force on this node at once, if it is newer than the current one.
 func (n *Node) Accept(s config.Snapshot, from string) {
-	err := n.view.Accept(s)
+	err := n.view.Apply(s)
 	switch {
 	case err == nil:
 		n.log.Add("config_in_force", "", fmt.Sprintf("revision %d by %s, from %s", s.Revision, s.Author, from))
 		n.publishOwnFact()
 		n.peers.exchangeNow() // the peers learn of the revision now, and pull it
-	case !config.Stale(err):
+	case !config.IsStale(err):
 		n.log.Add("config_refused", "", err.Error())
 	}
 }
@@ -277,22 +277,22 @@
 )
 
 // liveNodes returns the live nodes whose last fact is recent enough, this node included.
-func (n *Node) liveNodes() []member.Seen {
+func (n *Node) liveNodes() []member.Record {
 	now := n.clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cachedLive != nil && now.Sub(n.cachedLiveAt) < liveCacheTTL && n.table.Nodes() == n.cachedLiveVersion {
+	if n.cachedLive != nil && now.Sub(n.cachedLiveAt) < liveCacheTTL && n.table.NodesVersion() == n.cachedLiveVersion {
 		return n.cachedLive
 	}
 	timeout := n.hallTimeout()
-	n.cachedLive = n.table.SelectSeen(func(f *member.Fact, at time.Time) bool {
+	n.cachedLive = n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
 		limit := timeout
 		if f.Hall != n.o.Hall {
 			limit += 2 * n.currentIntervals().crossHallInterval
 		}
 		return f.Kind == member.KindNode && f.Status == member.StatusLive && (f.ID == n.id || now.Sub(at) < limit)
 	})
-	n.cachedLiveAt, n.cachedLiveVersion = now, n.table.Nodes()
+	n.cachedLiveAt, n.cachedLiveVersion = now, n.table.NodesVersion()
 	return n.cachedLive
 }
 
@@ -345,7 +345,7 @@
 	n.log.Add("vm_"+now.Status.String(), "", now.ID)
 	n.peers.exchangeNow()
 	if now.Kind == member.KindUpstream {
-		go n.dispatcher.Leaving(n.ctx, now, n.noticeRemaining(&now))
+		go n.dispatcher.MoveStreams(n.ctx, now, n.noticeRemaining(&now))
 	}
 }
 
@@ -384,8 +384,8 @@
 
 func (n *Node) stopAbandoned(now time.Time) {
 	for _, r := range n.registry.List(func(r *request.Request) bool { return !r.Job() }) {
-		if since, alone := r.Record().Alone(); alone && now.Sub(since) > callerGrace {
-			r.Abandon()
+		if since, alone := r.Record().UnreadSince(); alone && now.Sub(since) > callerGrace {
+			r.Cancel()
 		}
 	}
 }
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -195,7 +195,7 @@
 // queryLoads queries the upstreams that this node reports on. Only model engines have a load to report; a
 // plain service must not receive any call that no caller has made.
 func (n *Node) queryLoads(ctx context.Context) {
-	pools := n.view.Pools()
+	pools := n.view.PoolProtocols()
 	list := n.table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Status == member.StatusLive && f.Hall == n.o.Hall &&
 			pools[f.Service] == config.ProtocolChat
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -90,7 +90,7 @@
 	})
 	v := intervalsFor(hall, upstreams, all)
 	n.intervals.Store(&v)
-	n.table.SetSlow(v.crossHallInterval)
+	n.table.SetSlowInterval(v.crossHallInterval)
 }
 
 // sharePlatformRate divides the platform's rate among the live nodes and updates the intervals.
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -118,15 +118,15 @@
 	if v == nil {
 		return connect.NewError(connect.CodeNotFound, errNoRequest)
 	}
-	defer v.Record().Join(s.n.clock.Now)()
+	defer v.Record().AddReader(s.n.clock.Now)()
 	next := int(r.Msg.Offset)
 	for {
 		w, err := v.Record().Wait(ctx, next)
 		if err != nil {
 			return err
 		}
-		c := &wire.ReadChunk{Offset: int32(next), Pieces: w.Pieces, Outcome: string(w.Outcome), Failure: w.Failure}
-		next += len(w.Pieces)
+		c := &wire.ReadChunk{Offset: int32(next), Pieces: w.Tokens, Outcome: string(w.Outcome), Failure: w.Failure}
+		next += len(w.Tokens)
 		if err := out.Send(c); err != nil || w.Outcome != stream.OutcomeOpen {
 			return err
 		}
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -98,7 +98,7 @@
 
 // maxCrashes is how many upstreams one request may crash: those that quarantine it, and those that it reached
 // before all nodes knew.
-const maxCrashes = quarantine.Proof + 2
+const maxCrashes = quarantine.CrashThreshold + 2
 
 // TestChatThatCrashesEnginesIsQuarantined: a caller repeats a chat that crashes each engine that runs it, at
 // one node after the other. The nodes report the crashes to each other, and after three crashes no node sends
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return
 	}
-	for pool, p := range s.n.view.Pools() {
+	for pool, p := range s.n.view.PoolProtocols() {
 		if p == config.ProtocolChat {
 			s.planPool(x, pool, offers)
 		}
@@ -74,7 +74,7 @@
 func (s *scaler) planPool(ctx context.Context, pool string, offers []store.Offer) {
 	v := s.pools[pool]
 	if v == nil {
-		v = &poolScale{planner: autoscale.New(autoscale.Defaults()), knownVMs: make(map[string]bool)}
+		v = &poolScale{planner: autoscale.New(autoscale.DefaultOptions()), knownVMs: make(map[string]bool)}
 		s.pools[pool] = v
 	}
 	vms := s.observePool(pool, v)
@@ -122,7 +122,7 @@
 		return
 	}
 	if o.Stop != "" {
-		s.n.log.Add("vm_stop_ordered", "", o.Stop+": "+o.Why)
+		s.n.log.Add("vm_stop_ordered", "", o.Stop+": "+o.Reason)
 		_ = s.n.o.Cloud.Stop(ctx, o.Stop, token)
 		return
 	}
@@ -137,6 +137,6 @@
 		v.planner.Refused(now, *f)
 		return
 	}
-	s.n.log.Add("vm_start_ordered", "", fmt.Sprintf("%s in %s: %s", f.Class, f.Zone, o.Why))
+	s.n.log.Add("vm_start_ordered", "", fmt.Sprintf("%s in %s: %s", f.Class, f.Zone, o.Reason))
 	v.planner.Accepted(now, *f)
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -25,7 +25,7 @@
 // start runs a request in a goroutine of its own.
 func (n *Node) start(r *request.Request) {
 	ctx, cancel := context.WithCancel(n.ctx)
-	ended := r.Running(cancel)
+	ended := r.MarkRunning(cancel)
 	go func() {
 		defer cancel()
 		n.run(ctx, r, ended)
@@ -36,7 +36,7 @@
 // long before its response is journalled.
 func (n *Node) run(ctx context.Context, r *request.Request, ended func()) {
 	defer ended()
-	w := n.view.Named(r.Workspace())
+	w := n.view.WorkspaceByName(r.Workspace())
 	p, err := ingress.ParseChat(r.Body())
 	if w == nil || w.Service(r.Service()) == nil || err != nil {
 		// Its workspace or service was deleted after the request was accepted, so the settings to run it with
@@ -51,7 +51,7 @@
 	if r.Job() {
 		c.Deadline = n.clock.Now().Add(jobDeadline)
 	}
-	c.Moved = r.Moved
+	c.TakenOver = r.Moved
 	n.dispatcher.Chat(ctx, c)
 	ended()
 	if r.Moved() && r.Record().Read(0).Outcome == stream.OutcomeOpen {
@@ -62,7 +62,7 @@
 	}
 	v := r.Record().Read(0)
 	ingress.Outcomes.Add(string(v.Outcome), 1)
-	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Pieces), r.Record().Attempt()))
+	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Tokens), r.Record().Attempt()))
 }
 
 // jobDeadline is how long an accepted job is attempted.
@@ -75,7 +75,7 @@
 func (n *Node) journalResponse(r *request.Request) {
 	for n.ctx.Err() == nil {
 		err := n.journal.Finish(n.ctx, r.Spec(), func(owner string) bool {
-			return owner == n.id || owner == r.From() || n.ownerGone(owner)
+			return owner == n.id || owner == r.PreviousOwner() || n.ownerGone(owner)
 		})
 		if err == nil {
 			n.log.Add("job_finished", r.ID(), "journalled")
@@ -127,8 +127,8 @@
 
 // holderCandidates lists the other live nodes in the order in which they are asked to hold a request, those
 // of other halls first.
-func (n *Node) holderCandidates(id string) []member.Seen {
-	byID := make(map[string]member.Seen)
+func (n *Node) holderCandidates(id string) []member.Record {
+	byID := make(map[string]member.Record)
 	var far, near []string
 	for _, f := range n.liveNodes() {
 		if f.ID == n.id {
@@ -141,7 +141,7 @@
 			near = append(near, f.ID)
 		}
 	}
-	var r []member.Seen
+	var r []member.Record
 	for _, id := range append(route.Rank(id, far), route.Rank(id, near)...) {
 		r = append(r, byID[id])
 	}
@@ -192,15 +192,15 @@
 }
 
 // likelyHolders lists the nodes that may have a request, the most likely first.
-func (n *Node) likelyHolders(id string) []member.Seen {
-	var r []member.Seen
+func (n *Node) likelyHolders(id string) []member.Record {
+	var r []member.Record
 	owner := ingress.OwnerOf(id)
-	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.peerTimeout(&f.Fact) {
+	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.ReceivedAt) < n.peerTimeout(&f.Fact) {
 		r = append(r, f)
 	}
 	// The hand-over ranks nodes regardless of their hall, so the order here must not depend on this node's
 	// own hall.
-	byID := make(map[string]member.Seen)
+	byID := make(map[string]member.Record)
 	var ids []string
 	for _, f := range n.liveNodes() {
 		if f.ID != owner && f.ID != n.id {
@@ -272,7 +272,7 @@
 }
 
 func (n *Node) followOnce(ctx context.Context, r *request.Request, f member.Fact) {
-	attempt, offset := r.Record().Begin()
+	attempt, offset := r.Record().StartAttempt()
 	s, err := n.peers.get(f.ID, f.Address).client.Read(ctx, connect.NewRequest(&wire.ReadRequest{Id: r.ID(), Offset: int32(offset), Workspace: r.Workspace()}))
 	if err != nil {
 		return
@@ -365,7 +365,7 @@
 	if !ok || f.Status == member.StatusGone {
 		return true
 	}
-	return n.clock.Since(f.At) > orphanAfter+n.hallTimeout() && !n.responds(&f.Fact)
+	return n.clock.Since(f.ReceivedAt) > orphanAfter+n.hallTimeout() && !n.responds(&f.Fact)
 }
 
 // responds queries a node directly: facts about a node of another hall arrive so rarely that their absence
@@ -405,12 +405,12 @@
 // adopt continues a request of another node from its last known piece.
 func (n *Node) adopt(s request.Spec) {
 	if s.Owner != n.id {
-		s.From, s.Owner = s.Owner, n.id
+		s.PreviousOwner, s.Owner = s.Owner, n.id
 	}
 	if old := n.registry.Get(s.ID); old != nil {
 		// The local copy may have more pieces than the handed-over or journalled one.
-		if p := old.Record().Pieces(); len(p) > len(s.Pieces) {
-			s.Pieces = p
+		if p := old.Record().Tokens(); len(p) > len(s.Tokens) {
+			s.Tokens = p
 		}
 	}
 	r := request.New(s)
--- a/internal/store/dated.go
+++ b/internal/store/dated.go
@@ -23,14 +23,14 @@
 // dated is a store whose era a clock knows.
 type dated struct {
 	kv    KV
-	clock *era.Clock
+	clock *era.Tracker
 	mu    sync.Mutex
 	eras  map[int64]int64 // by lease that was granted here: its era
 }
 
 // Dated returns a store whose revisions have their era in them. The clock hears of each answer of kv
 // before kv returns it.
-func Dated(kv KV, clock *era.Clock) KV {
+func Dated(kv KV, clock *era.Tracker) KV {
 	d := &dated{kv: kv, clock: clock, eras: make(map[int64]int64)}
 	r := KV{Range: d.read, Txn: d.txn, Grant: d.grant, KeepAlive: d.keepAlive, Revoke: d.revoke, Watch: d.watch}
 	if kv.Glance != nil {
@@ -51,21 +51,21 @@
 }
 
 func (d *dated) dateRead(f func() (RangeResult, error)) (RangeResult, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	r, err := f()
 	if err != nil {
 		return r, err
 	}
 	if now == 0 { // the first answer says the era that it is of
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return RangeResult{}, errRose
 	}
 	if err := d.date(now, &r.Revision); err != nil {
 		return RangeResult{}, err
 	}
-	d.clock.See(r.Revision)
+	d.clock.ObserveRevision(r.Revision)
 	for i := range r.Pairs {
 		if err := d.date(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
 			return RangeResult{}, err
@@ -87,12 +87,12 @@
 }
 
 func (d *dated) txn(ctx context.Context, t Txn) (TxnResult, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	raw := t
 	raw.If = make([]Compare, len(t.If))
 	for i, c := range t.If {
 		if c.Target != CompareVersion {
-			n, ok := era.Within(now, c.Number)
+			n, ok := era.NumberIn(now, c.Number)
 			if !ok {
 				return TxnResult{}, nil
 			}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return r, err
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return TxnResult{}, fault.Because(ErrUnknown, "the store came back from a copy meanwhile")
 	}
 	if r.Succeeded {
@@ -119,15 +119,15 @@
 }
 
 func (d *dated) grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	id, err := d.kv.Grant(ctx, ttl)
 	if err != nil {
 		return 0, err
 	}
 	if now == 0 {
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return 0, errRose // it lapses, if it is there
 	}
 	d.mu.Lock()
@@ -137,13 +137,13 @@
 }
 
 func (d *dated) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	if !d.granted(now, id) {
 		d.forget(id)
 		return 0, ErrLeaseGone
 	}
 	left, err := d.kv.KeepAlive(ctx, id)
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		err = ErrLeaseGone
 	}
 	if errors.Is(err, ErrLeaseGone) {
@@ -153,7 +153,7 @@
 }
 
 func (d *dated) revoke(ctx context.Context, id int64) error {
-	here := d.granted(d.clock.Now(), id)
+	here := d.granted(d.clock.Current(), id)
 	d.forget(id)
 	if !here {
 		return nil
@@ -177,20 +177,20 @@
 }
 
 func (d *dated) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
-	now := d.clock.Now()
-	n, ok := era.Within(now, s.From)
+	now := d.clock.Current()
+	n, ok := era.NumberIn(now, s.From)
 	if !ok {
 		return ErrCompacted
 	}
 	s.From = n
 	return d.kv.Watch(ctx, s, func(b WatchBatch) error {
-		if d.clock.Now() != now {
+		if d.clock.Current() != now {
 			return ErrCompacted
 		}
 		if err := d.date(now, &b.Revision); err != nil {
 			return err
 		}
-		d.clock.See(b.Revision)
+		d.clock.ObserveRevision(b.Revision)
 		for i := range b.Events {
 			if err := d.date(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
 				return err
--- a/internal/store/dated_test.go
+++ b/internal/store/dated_test.go
@@ -13,7 +13,7 @@
 
 // eras is a store whose answers are of an era, and that counts the calls which reach it.
 type eras struct {
-	clock *era.Clock
+	clock *era.Tracker
 	now   int64
 	calls int
 	rises bool // the era rises during the next call
@@ -22,16 +22,16 @@
 
 func (v *eras) answer() {
 	v.calls++
-	_ = v.clock.Hear(v.now) // never falls here
+	_ = v.clock.Observe(v.now) // never falls here
 	if v.rises {
 		v.rises = false
 		v.now++
-		_ = v.clock.Hear(v.now)
+		_ = v.clock.Observe(v.now)
 	}
 }
 
 func newEras(now int64) (*eras, KV) {
-	v := &eras{clock: era.NewClock(), now: now}
+	v := &eras{clock: era.NewTracker(), now: now}
 	kv := KV{
 		Range: func(context.Context, string, string) (RangeResult, error) {
 			v.answer()
@@ -103,7 +103,7 @@
 		v, kv := newEras(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		v.now = 3
 		_, err = kv.Txn(ctx, Txn{Then: []Op{{Kind: OpPut, Key: "k", Lease: id}}})
 		assert.ErrorIs(t, err, ErrLeaseGone)
@@ -115,20 +115,20 @@
 		v, kv := newEras(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		assert.NoError(t, kv.Revoke(ctx, id))
 		assert.Equal(t, 1, v.calls)
 	})
 	t.Run("a watch doesn't go on from another era", func(t *testing.T) {
 		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		err := kv.Watch(ctx, Under("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Zero(t, v.calls)
 	})
 	t.Run("nor over a rise", func(t *testing.T) {
 		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		var got []int64
 		err := kv.Watch(ctx, Under("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
@@ -136,7 +136,7 @@
 	})
 	t.Run("a call over a rise has an answer that was lost", func(t *testing.T) {
 		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		v.rises = true
 		_, err := kv.Range(ctx, "k", "")
 		assert.ErrorIs(t, err, ErrUnavailable)
