--- a/cmd/spurhalld/main.go
+++ b/cmd/spurhalld/main.go
@@ -128,7 +128,7 @@
 	n := node.New(node.Options{
 		VM: s.VM, Hall: s.Hall, Zone: s.Zone, PeerAddress: s.PeerListen, Seeds: s.Seeds, Clock: clock, Log: log,
 		KV: store.NewGateway(s.PlatformURL, platformTimeout, clock).KV(), Cloud: store.NewCloud(s.PlatformURL, platformTimeout),
-		PlatformRate: s.PlatformRate, Policy: route.Policy(s.RoutePolicy), CrossHall: s.CrossHallLatency, Exchange: s.ExchangeInterval,
+		PlatformRate: s.PlatformRate, Policy: route.Policy(s.RoutePolicy), CrossHallLatency: s.CrossHallLatency, ExchangeInterval: s.ExchangeInterval,
 		PeerTransport: sec.transport, PeerScheme: sec.scheme, Autoscale: s.Autoscale,
 	})
 	stop := make(chan os.Signal, 2)
@@ -149,8 +149,8 @@
 		tls     *tls.Config
 		handler http.Handler
 	}{
-		{s.PeerListen, sec.peers, n.Peers()},
-		{s.CallerListen, sec.callers, n.Callers()},
+		{s.PeerListen, sec.peers, n.PeerHandler()},
+		{s.CallerListen, sec.callers, n.CallerHandler()},
 		{s.AdminListen, sec.callers, admin.Handler(admin.Options{Node: n, TokenHashes: s.AdminTokenHashes, Drain: drain})},
 	}
 	var open []*http.Server
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -20,33 +20,33 @@
 	"spurhall.example/spurhall/internal/wire/wireconnect"
 )
 
-// This file keeps up with the peers. Each interval a node exchanges facts with two
-// peers; only what the other doesn't have yet is sent. A fact that some VM
-// leaves doesn't wait for the interval: it goes to several peers at once, and each
-// of them does the same, so it is everywhere within a few round trips.
+// This file exchanges state with the peers. Each interval a node exchanges facts with two peers, and each
+// side sends only the facts that the other does not have yet. The fact that a VM is leaving does not wait for
+// the interval: it is sent to several peers at once, each of which does the same, so that it reaches all
+// nodes within a few round trips.
 
 var errs = errorx.NewNamespace("node")
 
-// errCut says that a test cut this node off from the peer.
-var errCut = errs.NewType("cut").New("cut off from the peer")
+// errBlocked reports that a test has blocked calls from this node to the peer.
+var errBlocked = errs.NewType("cut").New("cut off from the peer")
 
 const (
-	peersPerExchange = 2
-	peersPerKick     = 8
-	factsPerMessage  = 1000
-	exchangeTimeout  = time.Second
-	// farEvery is the share of exchanges that go to another hall: within a hall facts
-	// must be fresh, across halls they needn't be.
-	farEvery = 4
+	peersPerRound       = 2
+	peersPerUrgentRound = 8
+	factsPerMessage     = 1000
+	exchangeTimeout     = time.Second
+	// crossHallEvery is the number of rounds between exchanges with another hall: facts must be fresh within
+	// a hall, but need not be across halls.
+	crossHallEvery = 4
 )
 
-// peer is what this node keeps of one other node.
+// peer is the state that this node keeps for another node.
 type peer struct {
-	client wireconnect.PeerClient
-	sent   uint64 // position in the own log up to which the peer has all
-	have   uint64 // position in the peer's log up to which this node has all
-	up     bool   // the peer says that the platform answers it
-	heard  time.Time
+	client           wireconnect.PeerClient
+	sentPosition     uint64 // position in this node's log up to which the peer has all facts
+	receivedPosition uint64 // position in the peer's log up to which this node has all facts
+	platformUp       bool   // the peer has reported that it reaches the platform
+	lastSeen         time.Time
 }
 
 type peers struct {
@@ -54,9 +54,9 @@
 	http   *http.Client
 	mu     sync.Mutex
 	byID   map[string]*peer
-	kicked chan struct{}
-	turn   int
-	rounds int
+	urgent chan struct{}
+	turn   int // number of peer selections, which rotates them
+	rounds int // number of rounds, for the heartbeat
 }
 
 func newPeers(n *Node) *peers {
@@ -64,14 +64,14 @@
 	if t == nil {
 		t = &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: 60 * time.Second}
 	}
-	return &peers{n: n, http: &http.Client{Transport: t}, byID: make(map[string]*peer), kicked: make(chan struct{}, 1)}
+	return &peers{n: n, http: &http.Client{Transport: t}, byID: make(map[string]*peer), urgent: make(chan struct{}, 1)}
 }
 
-// kick makes the next exchange happen now, with more peers than usual.
-func (p *peers) kick() {
+// exchangeNow starts the next round at once, with more peers than usual.
+func (p *peers) exchangeNow() {
 	select {
-	case p.kicked <- struct{}{}:
-	default: // one is due already
+	case p.urgent <- struct{}{}:
+	default: // a round is due already
 	}
 }
 
@@ -92,59 +92,60 @@
 
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c, stop := p.n.clock.After(p.n.o.Exchange)
-		k := peersPerExchange
+		c, stop := p.n.clock.After(p.n.o.ExchangeInterval)
+		k := peersPerRound
 		select {
 		case <-c:
-		case <-p.kicked:
-			k = peersPerKick
+		case <-p.urgent:
+			k = peersPerUrgentRound
 		case <-ctx.Done():
 		}
 		stop()
 		if ctx.Err() != nil {
 			return
 		}
-		if p.rounds++; p.rounds%p.n.pace().heartbeat == 0 {
-			p.n.observeSelf()
+		if p.rounds++; p.rounds%p.n.currentIntervals().heartbeatExchanges == 0 {
+			p.n.publishOwnFact()
 		}
 		p.round(ctx, k)
 	}
 }
 
-// round exchanges with k random peers, in parallel, mostly of this hall.
+// round exchanges with k peers in parallel, mostly of this hall.
 func (p *peers) round(ctx context.Context, k int) {
-	targets := p.choose(k)
+	targets := p.choosePeers(k)
 	if len(targets) == 0 {
-		p.greetSeeds(ctx)
+		p.exchangeWithSeeds(ctx)
 		return
 	}
 	for _, f := range targets {
 		go p.exchange(ctx, f.ID, f.Address)
 	}
-	if p.n.view.Revision() == 0 || p.turn%strangerEvery == 0 {
-		p.greetSeeds(ctx)
+	if p.n.view.Revision() == 0 || p.turn%randomPeerEvery == 0 {
+		p.exchangeWithSeeds(ctx)
 	}
 }
 
-// choose picks the peers of one round. Within the hall they stand in a ring by id, and
-// a node talks with those 1, 2, 4, 8 ... places on: few enough that each pair meets
-// often and has little to tell, and far enough that news is everywhere in a few
-// rounds. Only the hall's delegates talk with other halls, each time with one
-// delegate of another. Peers at random were measured: a pair that meets rarely has
-// almost the whole table to tell, and the bytes grew with the square of the fleet.
-// Now and then one random peer is taken all the same, to heal whatever a cut left.
-func (p *peers) choose(k int) []member.Record {
+// choosePeers selects the peers of one round. The nodes of a hall form a ring by id, and a node exchanges
+// with those at distances 1, 2, 4, 8 ...: few enough that each pair exchanges often and has little to send,
+// and far enough apart that a fact reaches all nodes in a few rounds. Only the hall's delegates exchange with
+// other halls, each time with one delegate of another hall. Now and then a random peer is selected instead,
+// to reconnect the nodes after a partition.
+//
+// Alternatives considered: peers at random. A pair that exchanges rarely has almost the whole table to send,
+// and the bytes grew with the square of the fleet.
+func (p *peers) choosePeers(k int) []member.Record {
 	p.turn++
-	near, far := p.split()
-	if p.turn%strangerEvery == 0 && len(near)+len(far) > 0 {
+	near, far := p.splitByHall()
+	if p.turn%randomPeerEvery == 0 && len(near)+len(far) > 0 {
 		all := append(append([]member.Record(nil), near...), far...)
 		return []member.Record{all[rand.IntN(len(all))]}
 	}
-	list := ring(near, p.n.id, p.turn, k)
-	if p.n.first("delegate", delegates) || len(near) == 0 {
-		if k > peersPerExchange {
+	list := ringPeers(near, p.n.id, p.turn, k)
+	if p.n.hasDuty("delegate", delegatesPerHall) || len(near) == 0 {
+		if k > peersPerRound {
 			list = append(list, p.delegatesOf(far)...)
-		} else if p.turn%farEvery == 0 {
+		} else if p.turn%crossHallEvery == 0 {
 			if d := p.delegatesOf(far); len(d) > 0 {
 				list = append(list, d[rand.IntN(len(d))])
 			}
@@ -154,13 +155,13 @@
 }
 
 const (
-	delegates     = 2
-	strangerEvery = 29
+	delegatesPerHall = 2
+	randomPeerEvery  = 29
 )
 
-// split lists the other nodes of this hall and of the others.
-func (p *peers) split() (near, far []member.Record) {
-	for _, f := range p.others() {
+// splitByHall lists the other nodes: those of this hall and those of other halls.
+func (p *peers) splitByHall() (near, far []member.Record) {
+	for _, f := range p.knownPeers() {
 		if f.Hall == p.n.o.Hall {
 			near = append(near, f)
 		} else {
@@ -170,8 +171,8 @@
 	return near, far
 }
 
-// ring returns k of the peers at distances 1, 2, 4 ... behind id, in turn.
-func ring(near []member.Record, id string, turn, k int) []member.Record {
+// ringPeers returns k of the peers at distances 1, 2, 4 ... after id in the ring; turn rotates the selection.
+func ringPeers(near []member.Record, id string, turn, k int) []member.Record {
 	n := len(near)
 	start := sort.Search(n, func(i int) bool { return near[i].ID > id })
 	var list []member.Record
@@ -199,7 +200,7 @@
 	var r []member.Record
 	for _, ids := range halls {
 		for i, id := range route.Rank("delegate", ids) {
-			if i < delegates {
+			if i < delegatesPerHall {
 				r = append(r, byID[id])
 			}
 		}
@@ -207,30 +208,30 @@
 	return r
 }
 
-// others returns the nodes that may be reached: also silent ones, for a while, since
-// a cut may end.
-func (p *peers) others() []member.Record {
+// knownPeers returns the other nodes that may be reachable. It includes unresponsive ones for
+// unresponsiveRetention, since a partition may end.
+func (p *peers) knownPeers() []member.Record {
 	now := p.n.clock.Now()
 	return p.n.table.SelectRecords(func(f *member.Fact, at time.Time) bool {
-		return f.Kind == member.KindNode && f.Status != member.StatusGone && f.ID != p.n.id && now.Sub(at) < forgetSilent
+		return f.Kind == member.KindNode && f.Status != member.StatusGone && f.ID != p.n.id && now.Sub(at) < unresponsiveRetention
 	})
 }
 
-const forgetSilent = 2 * time.Minute
+const unresponsiveRetention = 2 * time.Minute
 
-// forget drops what is kept of peers that weren't heard of since a time.
+// forget drops the state of peers that were last seen before the given time.
 func (p *peers) forget(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, v := range p.byID {
-		if !v.heard.IsZero() && v.heard.Before(before) {
+		if !v.lastSeen.IsZero() && v.lastSeen.Before(before) {
 			delete(p.byID, id)
 		}
 	}
 }
 
-// greetSeeds exchanges with the addresses in the settings, whoever is there.
-func (p *peers) greetSeeds(ctx context.Context) {
+// exchangeWithSeeds exchanges with the seed addresses, whichever nodes listen there.
+func (p *peers) exchangeWithSeeds(ctx context.Context) {
 	for _, a := range p.n.o.Seeds {
 		if a != p.n.o.PeerAddress {
 			go p.exchange(ctx, "seed:"+a, a)
@@ -242,39 +243,39 @@
 	return p.n.o.Blocked != nil && p.n.o.Blocked(address)
 }
 
-// exchange swaps facts with one peer and pulls its configuration if it is newer.
+// exchange exchanges facts with one peer and pulls its configuration if that is newer.
 func (p *peers) exchange(ctx context.Context, id, address string) {
 	if p.blocked(address) {
 		return
 	}
 	v := p.get(id, address)
 	p.mu.Lock()
-	sent, have := v.sent, v.have
+	sent, have := v.sentPosition, v.receivedPosition
 	p.mu.Unlock()
 	f, known := p.n.table.Get(id)
 	facts, position := p.n.table.Since(member.Peer{ID: id, Sent: sent, OtherHall: known && f.Hall != p.n.o.Hall}, factsPerMessage)
 	x, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	r, err := v.client.Exchange(x, connect.NewRequest(&wire.ExchangeRequest{
-		From: p.n.id, Hall: p.n.o.Hall, ConfigRevision: p.n.view.Revision(), Facts: encode(facts), Have: have, PlatformUp: p.n.guard.Up(), Suspicions: p.n.dispatcher.Suspicions(),
+		From: p.n.id, Hall: p.n.o.Hall, ConfigRevision: p.n.view.Revision(), Facts: factsToWire(facts), Have: have, PlatformUp: p.n.guard.Up(), Suspicions: p.n.dispatcher.Suspicions(),
 	}))
 	if err != nil {
 		return
 	}
-	missing := p.observe(id, r.Msg.Facts)
+	missing := p.mergeFacts(id, r.Msg.Facts)
 	p.n.dispatcher.ApplySuspicions(r.Msg.Suspicions)
 	p.mu.Lock()
-	v.sent, v.have, v.up, v.heard = position, r.Msg.Position, r.Msg.PlatformUp, p.n.clock.Now()
+	v.sentPosition, v.receivedPosition, v.platformUp, v.lastSeen = position, r.Msg.Position, r.Msg.PlatformUp, p.n.clock.Now()
 	if missing {
-		v.have = 0
+		v.receivedPosition = 0
 	}
 	p.mu.Unlock()
 	if r.Msg.ConfigRevision > p.n.view.Revision() {
-		p.pull(x, v.client, address)
+		p.pullConfig(x, v.client, address)
 	}
 }
 
-func (p *peers) pull(ctx context.Context, c wireconnect.PeerClient, address string) {
+func (p *peers) pullConfig(ctx context.Context, c wireconnect.PeerClient, address string) {
 	r, err := c.PullConfig(ctx, connect.NewRequest(&wire.PullConfigRequest{Have: p.n.view.Revision()}))
 	if err != nil || r.Msg.Snapshot == nil {
 		return
@@ -282,7 +283,7 @@
 	p.n.Accept(SnapshotFromWire(r.Msg.Snapshot), "peer "+address)
 }
 
-func encode(facts []member.Fact) []*wire.Fact {
+func factsToWire(facts []member.Fact) []*wire.Fact {
 	r := make([]*wire.Fact, len(facts))
 	for i := range facts {
 		r[i] = facts[i].Wire()
@@ -290,10 +291,10 @@
 	return r
 }
 
-// observe takes in a peer's facts, and tells whether the peer has to be asked for all.
-// What a peer says of this very node is ignored, since nobody knows it better, but for a
-// notice that it may not have read itself.
-func (p *peers) observe(source string, list []*wire.Fact) bool {
+// mergeFacts merges a peer's facts into the table, and reports whether facts are missing, so that the peer
+// has to send all of them. Facts about this node itself are ignored, since its own state is the most recent,
+// except for a leaving notice that it may not have read itself.
+func (p *peers) mergeFacts(source string, list []*wire.Fact) bool {
 	now := p.n.clock.Now()
 	facts := make([]member.Fact, 0, len(list))
 	for _, w := range list {
@@ -301,7 +302,7 @@
 		switch {
 		case !ok:
 		case f.ID == p.n.id:
-			p.n.toldToLeave(&f)
+			p.n.applyLeavingReport(&f)
 		default:
 			facts = append(facts, f)
 		}
@@ -310,18 +311,18 @@
 	return missing
 }
 
-// answer is the other side of an exchange.
-func (p *peers) answer(q *wire.ExchangeRequest) *wire.ExchangeResponse {
-	missing := p.observe(q.From, q.Facts)
+// handleExchange serves an exchange that a peer started.
+func (p *peers) handleExchange(q *wire.ExchangeRequest) *wire.ExchangeResponse {
+	missing := p.mergeFacts(q.From, q.Facts)
 	p.n.dispatcher.ApplySuspicions(q.Suspicions)
 	facts, position := p.n.table.Since(member.Peer{ID: q.From, Sent: q.Have, OtherHall: q.Hall != p.n.o.Hall}, factsPerMessage)
 	f, ok := p.n.table.Get(q.From)
 	if ok {
 		v := p.get(q.From, f.Address)
 		p.mu.Lock()
-		v.up, v.heard = q.PlatformUp, p.n.clock.Now()
+		v.platformUp, v.lastSeen = q.PlatformUp, p.n.clock.Now()
 		if missing {
-			v.have = 0
+			v.receivedPosition = 0
 		}
 		p.mu.Unlock()
 	}
@@ -329,18 +330,19 @@
 		go func() {
 			x, cancel := context.WithTimeout(p.n.ctx, exchangeTimeout)
 			defer cancel()
-			p.pull(x, p.get(q.From, f.Address).client, f.Address)
+			p.pullConfig(x, p.get(q.From, f.Address).client, f.Address)
 		}()
 	}
-	return &wire.ExchangeResponse{ConfigRevision: p.n.view.Revision(), Facts: encode(facts), Position: position, PlatformUp: p.n.guard.Up(), Suspicions: p.n.dispatcher.Suspicions()}
+	return &wire.ExchangeResponse{ConfigRevision: p.n.view.Revision(), Facts: factsToWire(facts), Position: position, PlatformUp: p.n.guard.Up(), Suspicions: p.n.dispatcher.Suspicions()}
 }
 
-// reaches tells whether the way to a hall is open: one of two of its nodes listens. Where none is
-// known, nothing speaks for a cut.
-func (p *peers) reaches(ctx context.Context, hall string) bool {
+// hallReachable reports whether a hall can be reached: one of up to maxReachabilityProbes of its nodes
+// accepts a connection. Where no node of the hall is known, there is no evidence of a partition, and the hall
+// counts as reachable.
+func (p *peers) hallReachable(ctx context.Context, hall string) bool {
 	tried := 0
-	for _, f := range p.others() {
-		if f.Hall != hall || tried == waysTried {
+	for _, f := range p.knownPeers() {
+		if f.Hall != hall || tried == maxReachabilityProbes {
 			continue
 		}
 		tried++
@@ -351,19 +353,19 @@
 	return tried == 0
 }
 
-// waysTried is how many nodes of a hall are tried for the way there: one may have ended.
-const waysTried = 2
+// maxReachabilityProbes is the number of nodes of a hall that are probed: a single one may have stopped.
+const maxReachabilityProbes = 2
 
-// anyUp tells whether a peer said lately that the platform answers it.
-func (p *peers) anyUp() bool { return len(p.upPeers()) > 0 }
+// anyPeerHasPlatform reports whether a peer has recently reported that it reaches the platform.
+func (p *peers) anyPeerHasPlatform() bool { return len(p.peersWithPlatform()) > 0 }
 
-func (p *peers) upPeers() []*peer {
+func (p *peers) peersWithPlatform() []*peer {
 	now := p.n.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var r []*peer
 	for _, v := range p.byID {
-		if v.up && now.Sub(v.heard) < p.n.silentAfter() {
+		if v.platformUp && now.Sub(v.lastSeen) < p.n.hallTimeout() {
 			r = append(r, v)
 		}
 	}
@@ -373,7 +375,7 @@
 // sendClaim delivers a message of the claim protocol.
 func (p *peers) sendClaim(ctx context.Context, m claim.Member, g claim.Message) (*claim.Message, error) {
 	if p.blocked(m.Address) {
-		return nil, errCut
+		return nil, errBlocked
 	}
 	r, err := p.get(m.ID, m.Address).client.Claim(ctx, connect.NewRequest(claimToWire(&g)))
 	if err != nil {
@@ -406,7 +408,7 @@
 	return g
 }
 
-// SnapshotFromWire reads a configuration from its form between processes.
+// SnapshotFromWire converts a configuration from its wire form.
 func SnapshotFromWire(w *wire.Snapshot) config.Snapshot {
 	s := config.Snapshot{Revision: w.Revision, Author: w.Author, Note: w.Note, AppliedAt: time.UnixMilli(w.AppliedUnixMs)}
 	for _, d := range w.Documents {
@@ -415,7 +417,7 @@
 	return s
 }
 
-// SnapshotToWire is the inverse of SnapshotFromWire.
+// SnapshotToWire converts a configuration to its wire form.
 func SnapshotToWire(s *config.Snapshot) *wire.Snapshot {
 	w := &wire.Snapshot{Revision: s.Revision, Author: s.Author, Note: s.Note, AppliedUnixMs: s.AppliedAt.UnixMilli()}
 	for _, d := range s.Documents {
--- a/internal/node/complete_test.go
+++ b/internal/node/failover_test.go
@@ -15,15 +15,15 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-// live is a stream that a test reads as it comes.
-type live struct {
+// liveStream is a stream that a test reads while it is produced.
+type liveStream struct {
 	a    *http.Response
 	s    *bufio.Scanner
 	last string // id of the last event
 	text strings.Builder
 }
 
-func (n *rigNode) open(t *testing.T, path, body, last string) *live {
+func (n *rigNode) open(t *testing.T, path, body, last string) *liveStream {
 	t.Helper()
 	method := http.MethodPost
 	if body == "" {
@@ -38,11 +38,11 @@
 	a, err := rigClient.Do(q)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = a.Body.Close() })
-	return &live{a: a, s: bufio.NewScanner(a.Body)}
+	return &liveStream{a: a, s: bufio.NewScanner(a.Body)}
 }
 
-// read takes up to n tokens, or all if n is 0, and tells whether the end came.
-func (l *live) read(n int) bool {
+// read reads up to n tokens, or all if n is 0, and reports whether the stream has ended.
+func (l *liveStream) read(n int) bool {
 	for k := 0; (n == 0 || k < n) && l.s.Scan(); {
 		line := l.s.Text()
 		if v, ok := strings.CutPrefix(line, "id: "); ok {
@@ -61,8 +61,8 @@
 	return false
 }
 
-// serving returns the engine that runs a request.
-func (r *rig) serving(id string) *rigEngine {
+// engineRunning returns the engine that runs a request.
+func (r *rig) engineRunning(id string) *rigEngine {
 	r.t.Helper()
 	for _, e := range r.engines {
 		if e.Stats().Runs[id] > 0 {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// reclaim gives notice to an engine and kills it when the notice is over.
+// reclaim sends an engine's reclaim notice and kills the engine when the notice has elapsed.
 func (r *rig) reclaim(e *rigEngine, id string, notice time.Duration) {
 	e.Leave()
 	r.platform.Notice(id, notice)
@@ -92,11 +92,11 @@
 func TestEngineReclaimedMidStream(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault standin.Fault // at the successor
+		fault standin.Fault // at the engine that continues the stream
 		moved bool
 	}{
-		{"its KV cache is exported", standin.Fault{}, true},
-		{"the import fails, it is computed again", standin.Fault{Mode: standin.FaultRefuse, Path: "/v1/kv/import"}, false},
+		{"KV cache exported", standin.Fault{}, true},
+		{"import fails, tokens recomputed", standin.Fault{Mode: standin.FaultRefuse, Path: "/v1/kv/import"}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 			k := newChat("chat", "one two three four five six seven eight nine ten eleven twelve thirteen fourteen fifteen sixteen", 200, true)
 			l := r.nodes[0].open(t, "/v1/chat/completions", k.body, "")
 			l.read(20)
-			old := r.serving(l.a.Header.Get("X-Request-Id"))
+			old := r.engineRunning(l.a.Header.Get("X-Request-Id"))
 			for _, e := range r.engines {
 				if e != old {
 					e.Fault(c.fault)
@@ -121,7 +121,7 @@
 				recomputed += e.Stats().Recomputed
 			}
 			if c.moved {
-				assert.Less(t, recomputed, 20, "only what came during the transfer is computed again")
+				assert.Less(t, recomputed, 20, "only tokens produced during the transfer are computed again")
 			} else {
 				assert.Greater(t, recomputed, 20)
 			}
@@ -137,7 +137,7 @@
 	k := newChat("chat", "hello", 100, true)
 	l := r.nodes[0].open(t, "/v1/chat/completions", k.body, "")
 	l.read(10)
-	r.serving(l.a.Header.Get("X-Request-Id")).Die()
+	r.engineRunning(l.a.Header.Get("X-Request-Id")).Die()
 	assert.True(t, l.read(0))
 	assert.Equal(t, k.want, l.text.String())
 }
@@ -155,7 +155,7 @@
 		go func() {
 			defer wait.Done()
 			k := newChat("chat", fmt.Sprintf("prompt number %d", i), 150, true)
-			assertWhole(t, k, r.chat(r.nodes[i%2], k))
+			assertComplete(t, k, r.chat(r.nodes[i%2], k))
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -177,23 +177,23 @@
 	id := l.a.Header.Get("X-Request-Id")
 	gone := make(chan struct{})
 	go func() { r.nodes[0].LeaveWithin(600 * time.Millisecond); close(gone) }()
-	l.read(60) // still through the leaving node, which follows the new holder
+	l.read(60) // still through the leaving node, which follows the new owner
 	<-gone
 	r.nodes[0].kill()
 	l.read(0)
-	assert.True(t, strings.HasPrefix(k.want, l.text.String()), "what came is the beginning of the answer")
+	assert.True(t, strings.HasPrefix(k.want, l.text.String()), "the part received is a prefix of the response")
 	for _, n := range r.nodes[1:] {
 		rest := n.open(t, "/v1/requests/"+id, "", l.last)
 		assert.True(t, rest.read(0))
-		assert.Equal(t, k.want, l.text.String()+rest.text.String(), "the rest from any node")
+		assert.Equal(t, k.want, l.text.String()+rest.text.String(), "any node serves the remainder")
 	}
 }
 
-// Two nodes of a hall read the notices; each of the others hears of its own from them.
+// Two nodes of a hall read the notices; each of the other nodes learns of its own notice from them.
 func TestNoticeReachesTheNodeThatDoesNotReadNotices(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-a", "hall-a", "hall-a")
 	for _, n := range r.nodes {
-		if n.first("notices", observers) {
+		if n.hasDuty("notices", observersPerHall) {
 			continue
 		}
 		r.platform.Notice(n.o.VM, time.Second)
@@ -201,20 +201,20 @@
 	}
 }
 
-// A node that leaves while it is cut off from all others keeps what nobody takes, and goes
-// on with it for as long as it is there.
-func TestEntryVMWithNoticeAndNobodyToTakeOver(t *testing.T) {
+// A node that leaves while it is partitioned from all others keeps the requests that no peer accepts, and
+// continues them for as long as it runs.
+func TestEntryVMWithNoticeAndNoReachablePeer(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{})
 	r.waitEngines(1)
-	r.nodes[0].cut.Store(r.nodes[1].o.PeerAddress, true)
+	r.nodes[0].blockedPeers.Store(r.nodes[1].o.PeerAddress, true)
 	k := newChat("chat", "hello", 150, true)
 	l := r.nodes[0].open(t, "/v1/chat/completions", k.body, "")
 	l.read(10)
 	go r.nodes[0].LeaveWithin(600 * time.Millisecond)
 	assert.True(t, l.read(0))
 	assert.Equal(t, k.want, l.text.String())
-	assert.True(t, r.nodes[0].saw("hand_over_failed"))
+	assert.True(t, r.nodes[0].hasEvent("hand_over_failed"))
 }
 
 func TestEntryVMLostHoldingJobs(t *testing.T) {
@@ -232,7 +232,7 @@
 	r.nodes[0].kill()
 	for id, k := range jobs {
 		assert.Equal(t, k.want, r.jobResult(r.nodes[1], id))
-		assert.Equal(t, k.want, r.jobResult(r.nodes[2], id), "every node gives the same answer")
+		assert.Equal(t, k.want, r.jobResult(r.nodes[2], id), "every node returns the same response")
 	}
 }
 
@@ -247,14 +247,14 @@
 	assert.Equal(t, "peer-other-hall", a.header.Get("Spurhall-Held"))
 	r.nodes[0].kill()
 	assert.Equal(t, k.want, r.jobResult(r.nodes[1], a.id), "the peer that held the copy runs it")
-	t.Run("with nobody to hold it, it is refused", func(t *testing.T) {
+	t.Run("rejected if no peer can hold it", func(t *testing.T) {
 		a := r.nodes[1].call(http.MethodPost, "/v1/chat/completions", k.body, "Prefer", "respond-async")
 		assert.Equal(t, http.StatusServiceUnavailable, a.status)
 		assert.Equal(t, "not-run", a.outcome)
 	})
 }
 
-func TestSecondDeathMidway(t *testing.T) {
+func TestSecondNodeLostMidway(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-a", "hall-b", "hall-b")
 	r.addEngine("e1", "hall-b", "z1", standin.EngineOptions{})
 	r.waitEngines(1)
@@ -266,18 +266,18 @@
 	var left []*rigNode
 	killed := false
 	for _, n := range r.nodes[1:] {
-		if n.saw("request_taken") && !killed {
+		if n.hasEvent("request_taken") && !killed {
 			n.kill()
 			killed = true
 			continue
 		}
 		left = append(left, n)
 	}
-	require.True(t, killed, "somebody took the job over")
+	require.True(t, killed, "a node took the job over")
 	assert.Equal(t, k.want, r.jobResult(left[0], a.id))
 }
 
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+func TestPlannedStopCompletesStreams(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Slots: 64})
 	r.waitEngines(1)
@@ -287,21 +287,21 @@
 		go func() {
 			defer wait.Done()
 			k := newChat("chat", fmt.Sprintf("prompt %d", i), 120, true)
-			assertWhole(t, k, r.chat(r.nodes[0], k))
+			assertComplete(t, k, r.chat(r.nodes[0], k))
 		}()
 	}
-	r.eventually("the streams are running", func() bool { return r.nodes[0].running() == 30 })
+	r.eventually("the streams are running", func() bool { return r.nodes[0].openRequests() == 30 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		r.nodes[0].Drain(t.Context())
 	}()
-	r.eventually("readiness has dropped", func() bool {
+	r.eventually("the node is no longer ready", func() bool {
 		return r.nodes[0].call(http.MethodGet, "/readyz", "").status == http.StatusServiceUnavailable
 	})
 	k := newChat("chat", "late", 1, true)
 	a := r.chat(r.nodes[0], k)
-	assert.Equal(t, "not-run", a.outcome, "a late caller is told, not refused the connection")
+	assert.Equal(t, "not-run", a.outcome, "a late caller gets a response, not a refused connection")
 	wait.Wait()
 	<-done
 }
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -11,23 +11,22 @@
 	"spurhall.example/spurhall/internal/store"
 )
 
-// This file observes: the VM list and the notices, by two nodes of each hall, and
-// the loads of the hall's upstreams, each by one node. The rest learn from their
-// peers, so that what the platform and the upstreams are asked doesn't grow with
-// the number of nodes.
+// This file observes the environment: two nodes of each hall read the VM list and the notices, and one node
+// queries the load of each of the hall's upstreams. The other nodes learn of it from their peers, so that the
+// number of calls to the platform and the upstreams does not grow with the number of nodes.
 
 const (
-	vmListEvery  = 2 * time.Second
-	noticesEvery = 500 * time.Millisecond
-	loadsEvery   = time.Second
-	observers    = 2
-	callTimeout  = time.Second
+	vmListInterval   = 2 * time.Second
+	noticeInterval   = 500 * time.Millisecond
+	minLoadInterval  = time.Second
+	observersPerHall = 2
+	callTimeout      = time.Second
 )
 
 func (n *Node) pollVMs(ctx context.Context) {
 	n.readVMs(ctx)
-	n.clock.Every(ctx, vmListEvery, func(time.Time) {
-		if n.first("vms", observers) {
+	n.clock.Every(ctx, vmListInterval, func(time.Time) {
+		if n.hasDuty("vms", observersPerHall) {
 			n.readVMs(ctx)
 		}
 	})
@@ -54,11 +53,11 @@
 		}
 	}
 	n.table.Observe(n.clock.Now(), facts...)
-	n.noteGone(ctx, present)
+	n.trackMissing(ctx, present)
 }
 
-// vmFact turns a list entry into a fact. The list says nothing of load, so what is
-// known of it stands.
+// vmFact converts an entry of the VM list into a fact. The list has no load, so the load that is already
+// known is kept.
 func (n *Node) vmFact(v *store.VM) member.Fact {
 	f := member.Fact{
 		ID: v.ID, Kind: member.KindUpstream, Incarnation: v.Incarnation, Status: member.StatusLive,
@@ -71,25 +70,24 @@
 	return f
 }
 
-// noteGone marks upstreams that were listed and no longer are, and retires members
-// whose VM is gone. A VM has to be missing from two lists in a row, and not to answer
-// at its address: a list that jumps back in time shows none of the VMs that came since,
-// and gone is for good.
-func (n *Node) noteGone(ctx context.Context, present map[string]bool) {
+// trackMissing marks upstreams that are no longer listed as gone, and retires members whose VM is gone. A VM
+// counts as gone only if it is missing from two successive lists and does not respond at its address: a stale
+// list lacks all VMs that were created later, and the status gone is final.
+func (n *Node) trackMissing(ctx context.Context, present map[string]bool) {
 	n.mu.Lock()
 	var gone []string
-	for id, missing := range n.listed {
+	for id, missing := range n.missingFromList {
 		switch {
 		case present[id]:
 		case missing:
 			gone = append(gone, id)
-			delete(n.listed, id)
+			delete(n.missingFromList, id)
 		default:
-			n.listed[id] = true
+			n.missingFromList[id] = true
 		}
 	}
 	for id := range present {
-		n.listed[id] = false
+		n.missingFromList[id] = false
 	}
 	n.mu.Unlock()
 	for _, id := range gone {
@@ -101,7 +99,7 @@
 	f, ok := n.table.Get(id)
 	if ok && n.client.Reachable(ctx, f.Address) {
 		n.mu.Lock()
-		n.listed[id] = true // it is looked at again with the next list
+		n.missingFromList[id] = true // checked again with the next list
 		n.mu.Unlock()
 		return
 	}
@@ -116,8 +114,8 @@
 }
 
 func (n *Node) pollNotices(ctx context.Context) {
-	n.clock.Every(ctx, noticesEvery, func(time.Time) {
-		if n.first("notices", observers) {
+	n.clock.Every(ctx, noticeInterval, func(time.Time) {
+		if n.hasDuty("notices", observersPerHall) {
 			n.readNotices(ctx)
 		}
 	})
@@ -125,7 +123,7 @@
 
 func (n *Node) readNotices(ctx context.Context) {
 	n.mu.Lock()
-	after := n.notices
+	after := n.lastNotice
 	n.mu.Unlock()
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -135,16 +133,16 @@
 	}
 	for _, v := range list {
 		n.mu.Lock()
-		n.notices = max(n.notices, v.Sequence)
+		n.lastNotice = max(n.lastNotice, v.Sequence)
 		n.mu.Unlock()
-		n.noticed(v)
+		n.applyNotice(v)
 	}
 }
 
-// defaultNotice is taken when a VM is known to leave and nobody said when.
+// defaultNotice is assumed when a VM is known to be leaving but its deadline is not.
 const defaultNotice = 2 * time.Second
 
-func (n *Node) noticed(v store.Notice) {
+func (n *Node) applyNotice(v store.Notice) {
 	if v.VM == n.o.VM {
 		n.log.Add("notice", "", fmt.Sprintf("this VM goes within %v", v.Within))
 		go n.LeaveWithin(v.Within)
@@ -155,8 +153,8 @@
 	}
 }
 
-// markLeaving marks an upstream, or the node on an entry VM, which learns of it from the
-// next peer that it exchanges facts with: only two nodes of a hall read the notices.
+// markLeaving marks an upstream, or the node on an entry VM, as leaving. That node learns of it from the next
+// peer that it exchanges facts with: only two nodes of a hall read the notices.
 func (n *Node) markLeaving(vm string, within time.Duration) bool {
 	now := n.clock.Now()
 	if n.table.Mark(now, vm, member.StatusLeaving, now.Add(within)) {
@@ -170,18 +168,18 @@
 	return false
 }
 
-// toldToLeave acts on a peer's word that this very node is leaving. Without a time it is
-// this node's own word that comes back.
-func (n *Node) toldToLeave(f *member.Fact) {
+// applyLeavingReport handles a peer's report that this node is leaving. A report without a deadline is this
+// node's own announcement, sent back to it.
+func (n *Node) applyLeavingReport(f *member.Fact) {
 	if f.Status != member.StatusLeaving || f.LeavesAt == 0 {
 		return
 	}
-	within := n.noticeLeft(f)
+	within := n.noticeRemaining(f)
 	n.log.Add("notice", "", fmt.Sprintf("a peer says that this VM goes within %v", within))
 	go n.LeaveWithin(within)
 }
 
-func (n *Node) noticeLeft(f *member.Fact) time.Duration {
+func (n *Node) noticeRemaining(f *member.Fact) time.Duration {
 	if f.LeavesAt == 0 {
 		return defaultNotice
 	}
@@ -189,28 +187,28 @@
 }
 
 func (n *Node) pollLoads(ctx context.Context) {
-	for n.clock.Sleep(ctx, n.pace().loads) == nil {
-		n.askLoads(ctx)
+	for n.clock.Sleep(ctx, n.currentIntervals().loadInterval) == nil {
+		n.queryLoads(ctx)
 	}
 }
 
-// askLoads asks the upstreams that this node reports for. Only model engines have a
-// load to report; a plain service must get no call that a caller didn't make.
-func (n *Node) askLoads(ctx context.Context) {
+// queryLoads queries the upstreams that this node reports on. Only model engines have a load to report; a
+// plain service must not receive any call that no caller has made.
+func (n *Node) queryLoads(ctx context.Context) {
 	pools := n.view.PoolProtocols()
 	list := n.table.Select(func(f *member.Fact) bool {
 		return f.Kind == member.KindUpstream && f.Status == member.StatusLive && f.Hall == n.o.Hall &&
 			pools[f.Service] == config.ProtocolChat
 	})
 	for _, f := range list {
-		if n.reports(f.ID) {
+		if n.reportsLoadOf(f.ID) {
 			go n.readLoad(ctx, f.Fact)
 		}
 	}
 }
 
-// reports tells whether this node is the one of its hall that asks the upstream.
-func (n *Node) reports(id string) bool {
+// reportsLoadOf reports whether this node is the one in its hall that queries the load of the upstream.
+func (n *Node) reportsLoadOf(id string) bool {
 	var ids []string
 	for _, f := range n.liveNodes() {
 		if f.Hall == n.o.Hall {
@@ -233,7 +231,7 @@
 		return
 	}
 	if l.Running == f.Running && l.Queued == f.Queued && f.Sequence > 0 {
-		return // nothing new, and nothing to spread
+		return // unchanged, nothing to propagate
 	}
 	f.Running, f.Queued = l.Running, l.Queued
 	f.Sequence++
--- a/internal/node/rig_test.go
+++ b/internal/node/rig_test.go
@@ -24,7 +24,7 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// rig is a few nodes in this process with the stand-ins they need, all on loopback.
+// rig is a set of nodes in this process with the stand-ins that they need, all on loopback.
 type rig struct {
 	t        testing.TB
 	exchange time.Duration
@@ -45,11 +45,11 @@
 
 type rigNode struct {
 	*Node
-	callers string
-	out     atomic.Bool // cut off from the platform
-	cut     sync.Map    // peer addresses that this node is cut off from
-	servers []*httptest.Server
-	stopped sync.Once
+	callers      string
+	platformCut  atomic.Bool // the platform is unreachable for this node
+	blockedPeers sync.Map    // peer addresses that this node cannot reach
+	servers      []*httptest.Server
+	stopped      sync.Once
 }
 
 const rigTemplate = `kind: template
@@ -87,7 +87,7 @@
 		p.Parallel()
 	}
 	r := emptyRig(t)
-	t.Cleanup(r.assertChartsKept)
+	t.Cleanup(r.assertNoIllegalTransition)
 	r.options = edit
 	r.exchange = 100 * time.Millisecond
 	r.plain = standin.NewPlain("orders", timer.Real(), time.Millisecond)
@@ -101,9 +101,8 @@
 	return r
 }
 
-// configure applies the rig's documents. Nodes give a call up after half a second, which
-// a loaded machine may need, so it goes on as an operator does: until the documents are
-// the head.
+// configure applies the rig's documents. Nodes abandon a call after half a second, which a loaded machine may
+// need, so it retries until the documents are the head revision.
 func (r *rig) configure() {
 	docs, err := config.Parse("rig", []byte(fmt.Sprintf(rigTemplate, config.HashKey(rigKey))))
 	require.NoError(r.t, err)
@@ -162,17 +161,17 @@
 	}
 	o := Options{
 		VM: vm, Hall: hall, Zone: hall, PeerAddress: peer.Addr().String(), Seeds: seeds, Clock: timer.Real(), Log: zap.NewNop(),
-		KV: n.cuttable(g.KV()), Cloud: n.cuttableCloud(store.NewCloud(r.server.URL, 500*time.Millisecond)),
-		PlatformRate: 5000, Exchange: r.exchange, PeerTransport: r.peers, PeerScheme: "http",
-		Blocked: func(a string) bool { _, ok := n.cut.Load(a); return ok },
+		KV: n.cuttableKV(g.KV()), Cloud: n.cuttableCloud(store.NewCloud(r.server.URL, 500*time.Millisecond)),
+		PlatformRate: 5000, ExchangeInterval: r.exchange, PeerTransport: r.peers, PeerScheme: "http",
+		Blocked: func(a string) bool { _, ok := n.blockedPeers.Load(a); return ok },
 	}
 	r.options(&o)
 	n.Node = New(o)
-	p := httptest.NewUnstartedServer(n.Peers())
+	p := httptest.NewUnstartedServer(n.PeerHandler())
 	_ = p.Listener.Close()
 	p.Listener = peer
 	p.Start()
-	c := httptest.NewServer(n.Callers())
+	c := httptest.NewServer(n.CallerHandler())
 	n.servers, n.callers = []*httptest.Server{p, c}, c.Listener.Addr().String()
 	n.Start()
 	r.nodes = append(r.nodes, n)
@@ -180,9 +179,9 @@
 	return n
 }
 
-func (n *rigNode) cuttable(kv store.KV) store.KV {
+func (n *rigNode) cuttableKV(kv store.KV) store.KV {
 	down := func() error {
-		if n.out.Load() {
+		if n.platformCut.Load() {
 			return store.ErrUnavailable
 		}
 		return nil
@@ -223,13 +222,13 @@
 func (n *rigNode) cuttableCloud(c store.Cloud) store.Cloud {
 	w := c
 	w.VMs = func(ctx context.Context) ([]store.VM, error) {
-		if n.out.Load() {
+		if n.platformCut.Load() {
 			return nil, store.ErrUnavailable
 		}
 		return c.VMs(ctx)
 	}
 	w.Notices = func(ctx context.Context, after int64) ([]store.Notice, error) {
-		if n.out.Load() {
+		if n.platformCut.Load() {
 			return nil, store.ErrUnavailable
 		}
 		return c.Notices(ctx, after)
@@ -237,7 +236,7 @@
 	return w
 }
 
-// kill ends a node as a lost VM would: no word to anybody.
+// kill stops a node like the loss of its VM: without any announcement.
 func (n *rigNode) kill() {
 	n.stopped.Do(func() {
 		for _, s := range n.servers {
@@ -274,7 +273,7 @@
 	return len(n.table.Select(func(f *member.Fact) bool { return f.Service == service && f.Status == member.StatusLive }))
 }
 
-// waitEngines waits until every node knows so many live engines.
+// waitEngines waits until every node knows k live engines.
 func (r *rig) waitEngines(k int) {
 	r.t.Helper()
 	r.eventually("the engines are known", func() bool {
@@ -297,7 +296,7 @@
 	require.Eventually(r.t, ok, 30*time.Second, 10*time.Millisecond, what)
 }
 
-// dump logs the state and the time line of every node.
+// dump logs the state and the timeline of every node.
 func (r *rig) dump() {
 	for _, n := range r.nodes {
 		r.t.Logf("%s: %s, synced %v, live %d, members %d, revision %d", n.ID(), n.State(), n.Claims().Synced(), len(n.liveNodes()), len(n.Claims().View()), n.View().Revision())
@@ -307,14 +306,14 @@
 	}
 }
 
-// outage cuts every node off from the platform and waits until they know.
+// outage makes the platform unreachable for every node and waits until they have detected it.
 func (r *rig) outage() {
 	for _, n := range r.nodes {
-		n.out.Store(true)
+		n.platformCut.Store(true)
 	}
-	r.eventually("the outage is noticed", func() bool {
+	r.eventually("the outage is detected", func() bool {
 		for _, n := range r.nodes {
-			if n.guard.Up() || n.peers.anyUp() {
+			if n.guard.Up() || n.peers.anyPeerHasPlatform() {
 				return false
 			}
 		}
@@ -324,11 +323,11 @@
 
 func (r *rig) restore() {
 	for _, n := range r.nodes {
-		n.out.Store(false)
+		n.platformCut.Store(false)
 	}
 }
 
-type answer struct {
+type response struct {
 	status  int
 	outcome string
 	id      string
@@ -339,10 +338,10 @@
 
 var rigClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-func (n *rigNode) call(method, path, body string, header ...string) answer {
+func (n *rigNode) call(method, path, body string, header ...string) response {
 	q, err := http.NewRequest(method, "http://"+n.callers+path, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	q.Header.Set("Authorization", "Bearer "+rigKey)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -350,7 +349,7 @@
 	}
 	a, err := rigClient.Do(q)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer a.Body.Close()
 	b, err := io.ReadAll(a.Body)
@@ -358,14 +357,14 @@
 	if o == "" {
 		o = a.Trailer.Get("Spurhall-Outcome")
 	}
-	return answer{status: a.StatusCode, outcome: o, id: a.Header.Get("X-Request-Id"), header: a.Header, body: string(b), err: err}
+	return response{status: a.StatusCode, outcome: o, id: a.Header.Get("X-Request-Id"), header: a.Header, body: string(b), err: err}
 }
 
-func (n *rigNode) keyed(path, key string) answer {
+func (n *rigNode) keyed(path, key string) response {
 	return n.call(http.MethodPost, "/s/orders"+path, "{}", "Idempotency-Key", key)
 }
 
-// chat is a prompt with its whole answer.
+// chat is the body of a chat request with its expected complete response.
 type chat struct {
 	body, want string
 }
@@ -376,19 +375,19 @@
 	return chat{body: string(b), want: standin.Answer(standin.Prompt(m), tokens)}
 }
 
-// content puts a streamed answer together.
+// content joins the pieces of a streamed response.
 func content(body string) string {
 	var b strings.Builder
 	standin.EachEvent(strings.NewReader(body), func(c string) { b.WriteString(c) })
 	return b.String()
 }
 
-func (r *rig) chat(n *rigNode, c chat) answer {
+func (r *rig) chat(n *rigNode, c chat) response {
 	return n.call(http.MethodPost, "/v1/chat/completions", c.body)
 }
 
-// assertWhole checks that a stream is the whole answer to its own prompt.
-func assertWhole(t *testing.T, c chat, a answer) {
+// assertComplete checks that a stream is the complete response to its own prompt.
+func assertComplete(t *testing.T, c chat, a response) {
 	t.Helper()
 	require.NoError(t, a.err)
 	require.Equal(t, http.StatusOK, a.status, a.body)
@@ -396,7 +395,7 @@
 	require.Equal(t, "done", a.outcome)
 }
 
-// jobResult waits for a job, asked for at a node, and returns its answer.
+// jobResult waits until a node reports a job as done, and returns the job's response.
 func (r *rig) jobResult(n *rigNode, id string) string {
 	r.t.Helper()
 	var text string
@@ -418,17 +417,18 @@
 	return text
 }
 
-// assertChartsKept fails the test if any node took a step that a chart doesn't allow.
-func (r *rig) assertChartsKept() {
+// assertNoIllegalTransition fails the test if any node attempted a transition that its state chart does not
+// allow.
+func (r *rig) assertNoIllegalTransition() {
 	for _, n := range r.nodes {
-		if n.saw("transition_not_allowed") {
-			r.t.Errorf("%s took a step that its chart doesn't allow", n.ID())
+		if n.hasEvent("transition_not_allowed") {
+			r.t.Errorf("%s attempted a transition that its state chart does not allow", n.ID())
 			r.dump()
 		}
 	}
 }
 
-func (n *rigNode) saw(event string) bool {
+func (n *rigNode) hasEvent(event string) bool {
 	for _, e := range n.Timeline().Since(time.Time{}) {
 		if e.Name == event {
 			return true
