--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -152,7 +152,7 @@
 	}
 	b.load(r)
 	b.setPlatform(true)
-	return b.o.KV.Watch(ctx, store.Under(prefix, r.Revision+1), func(w store.WatchBatch) error {
+	return b.o.KV.Watch(ctx, store.PrefixSpan(prefix, r.Revision+1), func(w store.WatchBatch) error {
 		b.setPlatform(true)
 		var list []Change
 		for _, e := range w.Events {
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -20,7 +20,7 @@
 
 // erasKV is a stand-in's keys as a store that may come back from a copy.
 func erasKV(k *standin.Keys, c *era.Clock) store.KV {
-	return store.Dated(store.KV{
+	return store.WithEra(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) { return k.Range(key, end), nil },
 		Txn:   func(_ context.Context, t store.Txn) (store.TxnResult, error) { return k.Txn(t) },
 		Grant: func(_ context.Context, d time.Duration) (int64, error) { return k.Grant(d), nil },
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -124,7 +124,7 @@
 		}
 	}
 	n.clock.Every(ctx, memberLook, func(time.Time) {
-		if err := n.lookOnce(ctx, n.kv.Glance); err != nil {
+		if err := n.lookOnce(ctx, n.kv.StaleRange); err != nil {
 			n.log.Debug("registry_unread", zap.String("cause", err.Error()))
 		}
 	})
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -159,7 +159,7 @@
 	n.guard = store.NewGuard(o.Clock, n.share())
 	n.era = o.Era
 	n.era.OnRise(n.eraRose)
-	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
+	n.kv = n.guard.Wrap(store.WithEra(o.KV, o.Era))
 	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.Lease, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
 		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.known, Catalog: n.current,
@@ -172,7 +172,7 @@
 // share is this node's part of the store's rates.
 func (n *Node) share() store.GuardOptions {
 	k := float64(n.peers.size())
-	return store.GuardOptions{Reads: n.s.Store.Reads / k, Writes: n.s.Store.Writes / k, Backoff: storeBackoff}
+	return store.GuardOptions{Reads: n.s.Store.Reads / k, Writes: n.s.Store.Writes / k, MaxBackoff: storeBackoff}
 }
 
 func (n *Node) current() *catalog.Catalog {
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -82,7 +82,7 @@
 // What goes from the list right after an outage may have lapsed in it and is believed for
 // a while, so no outage is made up.
 func begunAnew(err error) bool {
-	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrDoubted) || errors.Is(err, errBehind)
+	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrWatchUntrusted) || errors.Is(err, errBehind)
 }
 
 func (f *follower) lost(err error) {
@@ -127,7 +127,7 @@
 	c, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	f.set(stop)
-	span := store.Under(f.prefix, r.Revision+1)
+	span := store.PrefixSpan(f.prefix, r.Revision+1)
 	span.Wait = f.wait
 	err = f.n.kv.Watch(c, span, func(b store.WatchBatch) error {
 		f.regained()
--- a/internal/job/journal.go
+++ b/internal/job/journal.go
@@ -198,7 +198,7 @@
 	for _, p := range r.Pairs {
 		f(entry(p))
 	}
-	return j.kv.Watch(ctx, store.Under(prefix, r.Revision+1), func(b store.WatchBatch) error {
+	return j.kv.Watch(ctx, store.PrefixSpan(prefix, r.Revision+1), func(b store.WatchBatch) error {
 		for _, e := range b.Events {
 			f(entry(e.Pair))
 		}
--- a/internal/lease/era_test.go
+++ b/internal/lease/era_test.go
@@ -45,7 +45,7 @@
 		}
 		return err
 	}
-	return store.Dated(store.KV{
+	return store.WithEra(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) {
 			r, e := w.keys.Range(key, end), w.era
 			w.between()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -116,7 +116,7 @@
 
 // awaitFree watches the key until it goes, and returns the pause before the next try.
 func (l *Lease) awaitFree(ctx context.Context) time.Duration {
-	span := store.Under(l.key, l.seen+1)
+	span := store.PrefixSpan(l.key, l.seen+1)
 	span.Wait = keyWait
 	err := l.kv.Watch(ctx, span, func(b store.WatchBatch) error {
 		for _, e := range b.Events {
--- a/internal/node/scale.go
+++ b/internal/node/scale.go
@@ -133,7 +133,7 @@
 		ID: fmt.Sprintf("%s-%d-%d", s.n.o.Hall, token, s.serial), Service: pool, Hall: s.n.o.Hall,
 		Zone: f.Zone, Class: f.Class, Reclaimable: f.Reclaimable, Fence: token,
 	})
-	if errors.Is(err, store.ErrRefused) {
+	if errors.Is(err, store.ErrRejected) {
 		s.n.log.Add("vm_start_refused", "", fmt.Sprintf("%s in %s", f.Class, f.Zone))
 		v.planner.Refused(now, *f)
 		return
--- a/internal/store/cloud.go
+++ b/internal/store/cloud.go
@@ -65,8 +65,8 @@
 	Fence       int64  `json:"fence"`
 }
 
-// ErrRefused says that the cloud won't start such a VM now.
-var ErrRefused = errs.NewType("refused").New("the cloud refused to start the VM")
+// ErrRejected says that the cloud won't start such a VM now.
+var ErrRejected = errs.NewType("refused").New("the cloud refused to start the VM")
 
 // Offer is a kind of VM that the cloud may start, with its price and reclaim rate as
 // of now.
@@ -137,7 +137,7 @@
 	}
 	defer s.Body.Close()
 	if s.StatusCode == http.StatusConflict {
-		return ErrRefused
+		return ErrRejected
 	}
 	if s.StatusCode/100 != 2 {
 		return fault.Because(ErrUnavailable, "cloud: status %d", s.StatusCode)
--- a/internal/store/dated.go
+++ b/internal/store/dated.go
@@ -28,13 +28,13 @@
 	eras  map[int64]int64 // by lease that was granted here: its era
 }
 
-// Dated returns a store whose revisions have their era in them. The clock hears of each answer of kv
+// WithEra returns a store whose revisions have their era in them. The clock hears of each answer of kv
 // before kv returns it.
-func Dated(kv KV, clock *era.Clock) KV {
+func WithEra(kv KV, clock *era.Clock) KV {
 	d := &dated{kv: kv, clock: clock, eras: make(map[int64]int64)}
 	r := KV{Range: d.read, Txn: d.txn, Grant: d.grant, KeepAlive: d.keepAlive, Revoke: d.revoke, Watch: d.watch}
-	if kv.Glance != nil {
-		r.Glance = d.glance
+	if kv.StaleRange != nil {
+		r.StaleRange = d.glance
 	}
 	return r
 }
@@ -47,7 +47,7 @@
 }
 
 func (d *dated) glance(ctx context.Context, prefix string) (RangeResult, error) {
-	return d.dateRead(func() (RangeResult, error) { return d.kv.Glance(ctx, prefix) })
+	return d.dateRead(func() (RangeResult, error) { return d.kv.StaleRange(ctx, prefix) })
 }
 
 func (d *dated) dateRead(f func() (RangeResult, error)) (RangeResult, error) {
--- a/internal/store/dated_test.go
+++ b/internal/store/dated_test.go
@@ -55,7 +55,7 @@
 			return f(WatchBatch{Revision: s.From + 1})
 		},
 	}
-	return v, Dated(kv, v.clock)
+	return v, WithEra(kv, v.clock)
 }
 
 func revision(t *testing.T, e, n int64) int64 {
@@ -122,7 +122,7 @@
 	t.Run("a watch doesn't go on from another era", func(t *testing.T) {
 		v, kv := newEras(2)
 		require.NoError(t, v.clock.Hear(2))
-		err := kv.Watch(ctx, Under("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
+		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Zero(t, v.calls)
 	})
@@ -130,7 +130,7 @@
 		v, kv := newEras(2)
 		require.NoError(t, v.clock.Hear(2))
 		var got []int64
-		err := kv.Watch(ctx, Under("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
+		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Equal(t, []int64{revision(t, 2, 7)}, got)
 	})
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -51,18 +51,18 @@
 type GuardOptions struct {
 	Reads  float64
 	Writes float64
-	// Backoff is the longest that the breaker stays open; 0 means two seconds.
-	Backoff time.Duration
+	// MaxBackoff is the longest that the breaker stays open; 0 means two seconds.
+	MaxBackoff time.Duration
 }
 
 // NewGuard returns a guard that starts with the platform taken as down: the
 // first call that succeeds says otherwise.
 func NewGuard(clock *timer.Service, o GuardOptions) *Guard {
-	if o.Backoff == 0 {
-		o.Backoff = backoffLimit
+	if o.MaxBackoff == 0 {
+		o.MaxBackoff = backoffLimit
 	}
 	return &Guard{
-		limit:  o.Backoff,
+		limit:  o.MaxBackoff,
 		doubt:  make(chan struct{}),
 		clock:  clock,
 		reads:  rate.NewLimiter(rate.Limit(o.Reads), int(o.Reads)+8),
@@ -165,12 +165,12 @@
 			g.note(err)
 			return r, err
 		},
-		Glance: func(ctx context.Context, prefix string) (RangeResult, error) {
+		StaleRange: func(ctx context.Context, prefix string) (RangeResult, error) {
 			if err := g.before("glances", nil); err != nil {
 				return RangeResult{}, err
 			}
 			countKey("glance", prefix)
-			r, err := kv.Glance(ctx, prefix)
+			r, err := kv.StaleRange(ctx, prefix)
 			g.note(err)
 			return r, err
 		},
@@ -243,7 +243,7 @@
 		return err
 	}
 	if doubted {
-		return ErrDoubted
+		return ErrWatchUntrusted
 	}
 	g.note(err)
 	return err
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -65,7 +65,7 @@
 			}
 			if c.ends {
 				require.Eventually(t, ended, 30*time.Second, time.Millisecond)
-				assert.ErrorIs(t, <-end, ErrDoubted)
+				assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 			} else {
 				for i := 0; i < 20; i++ {
 					assert.False(t, ended())
@@ -99,7 +99,7 @@
 	go func() { _ = kv.Watch(context.Background(), Span{Key: "short"}, func(WatchBatch) error { return nil }) }()
 	require.Never(t, func() bool { return len(end) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
 	close(fail)
-	assert.ErrorIs(t, <-end, ErrDoubted)
+	assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 }
 
 // TestWatcherThatHasSeenEnough: a watch that its caller ends is no failure of the store.
