--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -175,7 +175,7 @@
 			return givenUp(l.giveUp(), err)
 		}
 		again := p.again(tried, retry.Attempt{
-			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
+			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRejected),
 			Left: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
@@ -220,14 +220,14 @@
 	}
 	if c.Service.Refused(s.StatusCode) {
 		_ = s.Body.Close()
-		err := upstream.Refused(s, "")
+		err := upstream.Rejected(s, "")
 		p.landed(t.fact.ID, err, false)
 		return nil, err
 	}
 	if id := s.Header.Get("X-Request-Id"); id != "" && id != c.ID {
 		_ = s.Body.Close()
-		p.landed(t.fact.ID, upstream.ErrForeign, true)
-		return nil, upstream.ErrForeign
+		p.landed(t.fact.ID, upstream.ErrRequestMismatch, true)
+		return nil, upstream.ErrRequestMismatch
 	}
 	a, err := hold(s)
 	p.landed(t.fact.ID, err, ctx.Err() == nil)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -380,7 +380,7 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.rests.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
+	if d := upstream.CooldownOf(err); d > 0 && p.rests.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -80,7 +80,7 @@
 	if v, ok := d.o.Table.Get(f.ID); !ok || v.Status != member.StatusLive {
 		return
 	}
-	if !d.o.Client.Refuses(ctx, f.Address) || !d.o.Reaches(ctx, f.Hall) {
+	if !d.o.Client.RefusesConnections(ctx, f.Address) || !d.o.Reaches(ctx, f.Hall) {
 		return
 	}
 	now := d.o.Clock.Now()
@@ -128,5 +128,5 @@
 	if upstream.Severed(err) {
 		return upstream.ErrSevered
 	}
-	return upstream.ErrLost
+	return upstream.ErrMayHaveRun
 }
--- a/internal/dispatch/tries_test.go
+++ b/internal/dispatch/tries_test.go
@@ -28,5 +28,5 @@
 	t.Run("one dead address that is tried over and over does", func(t *testing.T) {
 		assert.LessOrEqual(t, looks(upstream.ErrNotSent, func(int) string { return "legacy" }), maxAttempts+1)
 	})
-	t.Run("nor are more reached than before", func(t *testing.T) { assert.Equal(t, maxAttempts, looks(upstream.ErrLost, strconv.Itoa)) })
+	t.Run("nor are more reached than before", func(t *testing.T) { assert.Equal(t, maxAttempts, looks(upstream.ErrMayHaveRun, strconv.Itoa)) })
 }
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -91,7 +91,7 @@
 // ends idle ones to several upstreams in a row. The looks take a round trip each, and a time-out where the
 // way is cut: only a request that has an end behind it is worth that before its next attempt.
 func (s *Server) noteEnd(ctx context.Context, e quarantine.End, u pool.Entry) {
-	if !s.o.Lines.get(u).Refuses(ctx, u.Address) || !s.o.Reaches(ctx, u.Hall) {
+	if !s.o.Lines.get(u).RefusesConnections(ctx, u.Address) || !s.o.Reaches(ctx, u.Hall) {
 		return
 	}
 	s.o.Log.Info("upstream_ended", zap.String("upstream", e.Upstream), zap.Stringer("print", e.Print))
--- a/internal/forward/lines.go
+++ b/internal/forward/lines.go
@@ -41,7 +41,7 @@
 
 func (l *Lines) open(idle time.Duration) *line {
 	return &line{limit: idle, client: upstream.NewClient(l.clock, upstream.Options{
-		ConnectTimeout: connectTimeout, IdlePerHost: idlePerLine, IdleTimeout: idle, Silence: silenceLimit,
+		ConnectTimeout: connectTimeout, IdlePerHost: idlePerLine, IdleTimeout: idle, AckTimeout: silenceLimit,
 	})}
 }
 
--- a/internal/upstream/abandon_test.go
+++ b/internal/upstream/abandon_test.go
@@ -68,7 +68,7 @@
 	defer func() { _ = c.Close() }()
 	time.Sleep(200 * time.Millisecond) // the kernel has taken what it takes
 	cancel()
-	assert.ErrorIs(t, <-done, ErrLost)
+	assert.ErrorIs(t, <-done, ErrMayHaveRun)
 	time.Sleep(50 * time.Millisecond)
 	b, err := io.ReadAll(c)
 	assert.Error(t, err, "the connection is reset")
--- a/internal/upstream/chat.go
+++ b/internal/upstream/chat.go
@@ -36,24 +36,24 @@
 
 // ChatCall is one attempt at a chat completion.
 type ChatCall struct {
-	RequestID   string
-	Address     string
-	Body        map[string]json.RawMessage // the caller's, as it came
-	MaxTokens   int
-	Priority    int // lower goes first
-	Offset      int // tokens the caller has already
-	Text        string
-	FirstByte   time.Duration // longest silence before the first token
-	Between     time.Duration // longest silence between tokens
-	Traceparent string
+	RequestID         string
+	Address           string
+	Body              map[string]json.RawMessage // the caller's, as it came
+	MaxTokens         int
+	Priority          int // lower goes first
+	Offset            int // tokens the caller has already
+	Text              string
+	FirstTokenTimeout time.Duration // longest silence before the first token
+	TokenTimeout      time.Duration // longest silence between tokens
+	Traceparent       string
 }
 
 // Chunk is one token, or the end of the stream.
 type Chunk struct {
-	Offset int
-	Text   string
-	Finish string
-	Usage  Usage
+	Offset       int
+	Text         string
+	FinishReason string
+	Usage        Usage
 }
 
 // Usage is the engine's count of tokens.
@@ -109,7 +109,7 @@
 		r.Header.Set("Traceparent", call.Traceparent)
 	}
 	stall := func() { cancel(ErrStalled) }
-	dog := c.clock.Watchdog(x, call.FirstByte, stall)
+	dog := c.clock.Watchdog(x, call.FirstTokenTimeout, stall)
 	a, err := c.Do(r, false)
 	if err != nil {
 		dog.Stop()
@@ -122,7 +122,7 @@
 	}
 	err = call.read(a.Body, func(k Chunk) error {
 		dog.Stop()
-		dog = c.clock.Watchdog(x, call.Between, stall)
+		dog = c.clock.Watchdog(x, call.TokenTimeout, stall)
 		return f(k)
 	})
 	dog.Stop()
@@ -142,9 +142,9 @@
 func statusError(a *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(a.Body, 512))
 	if a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusTooManyRequests {
-		return Refused(a, string(bytes.TrimSpace(b)))
+		return Rejected(a, string(bytes.TrimSpace(b)))
 	}
-	return fault.Because(ErrLost, "status %d: %s", a.StatusCode, bytes.TrimSpace(b))
+	return fault.Because(ErrMayHaveRun, "status %d: %s", a.StatusCode, bytes.TrimSpace(b))
 }
 
 type chunkJSON struct {
@@ -184,7 +184,7 @@
 		v = strings.TrimSpace(v)
 		if v == "[DONE]" {
 			if !finished {
-				return fault.Because(ErrLost, "the stream ended without a finish reason")
+				return fault.Because(ErrMayHaveRun, "the stream ended without a finish reason")
 			}
 			return nil
 		}
@@ -196,7 +196,7 @@
 		if finished {
 			return fault.Because(ErrOffset, "the stream went on after its end")
 		}
-		finished = k.Finish != ""
+		finished = k.FinishReason != ""
 		if k.Text != "" {
 			next++
 		}
@@ -207,16 +207,16 @@
 	if err := s.Err(); err != nil {
 		return lost(err)
 	}
-	return fault.Because(ErrLost, "the stream was cut at offset %d", next)
+	return fault.Because(ErrMayHaveRun, "the stream was cut at offset %d", next)
 }
 
 func (c *ChatCall) chunk(v string, offset, next int) (Chunk, error) {
 	var j chunkJSON
 	if err := json.Unmarshal([]byte(v), &j); err != nil {
-		return Chunk{}, fault.Because(ErrLost, "malformed event: %v", err)
+		return Chunk{}, fault.Because(ErrMayHaveRun, "malformed event: %v", err)
 	}
 	if j.ID != "chatcmpl-"+c.RequestID {
-		return Chunk{}, fault.Because(ErrForeign, "got %q", j.ID)
+		return Chunk{}, fault.Because(ErrRequestMismatch, "got %q", j.ID)
 	}
 	if offset < 0 {
 		offset = next
@@ -226,7 +226,7 @@
 	}
 	k := Chunk{Offset: offset, Usage: j.Usage}
 	if len(j.Choices) > 0 {
-		k.Text, k.Finish = j.Choices[0].Delta.Content, j.Choices[0].Finish
+		k.Text, k.FinishReason = j.Choices[0].Delta.Content, j.Choices[0].Finish
 	}
 	return k, nil
 }
@@ -257,7 +257,7 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode/100 != 2 {
-		return fault.Because(ErrRefused, "%s: status %d", path, a.StatusCode)
+		return fault.Because(ErrRejected, "%s: status %d", path, a.StatusCode)
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return Load{}, fault.Because(ErrRefused, "load: status %d", a.StatusCode)
+		return Load{}, fault.Because(ErrRejected, "load: status %d", a.StatusCode)
 	}
 	var l Load
 	err = json.NewDecoder(a.Body).Decode(&l)
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -17,12 +17,12 @@
 // lives on a reclaimable VM, and a number that can't be meant mustn't put it out of use for good.
 const restMost = time.Hour
 
-// Rest returns how long the upstream that gave an answer wants nothing more, as its refusal says; 0:
+// Cooldown returns how long the upstream that gave an answer wants nothing more, as its refusal says; 0:
 // it doesn't. It says so in seconds, with a fraction or without, or by a date (RFC 9110, section
 // 10.2.3), which counts from the answer's own date, since clocks of two VMs differ. What can't be
 // read counts as not said; of several words the longest holds: who waits too long loses less than who comes
 // while it isn't wanted.
-func Rest(a *http.Response) time.Duration {
+func Cooldown(a *http.Response) time.Duration {
 	if a.StatusCode != http.StatusServiceUnavailable && a.StatusCode != http.StatusTooManyRequests {
 		return 0
 	}
@@ -62,15 +62,15 @@
 func (r *refusal) Error() string { return r.cause }
 
 // Is makes errors.Is(err, ErrRefused) hold.
-func (r *refusal) Is(target error) bool { return target == ErrRefused } //nolint:errorlint // sentinel
+func (r *refusal) Is(target error) bool { return target == ErrRejected } //nolint:errorlint // sentinel
 
-// Refused returns ErrRefused for an answer by which an upstream says that it didn't run the request.
-func Refused(a *http.Response, detail string) error {
-	return &refusal{cause: fmt.Sprintf("%v: status %d %s", ErrRefused, a.StatusCode, detail), rest: Rest(a)}
+// Rejected returns ErrRefused for an answer by which an upstream says that it didn't run the request.
+func Rejected(a *http.Response, detail string) error {
+	return &refusal{cause: fmt.Sprintf("%v: status %d %s", ErrRejected, a.StatusCode, detail), rest: Cooldown(a)}
 }
 
-// RestAsked returns the rest that an upstream asked for with an error; 0: none.
-func RestAsked(err error) time.Duration {
+// CooldownOf returns the rest that an upstream asked for with an error; 0: none.
+func CooldownOf(err error) time.Duration {
 	var r *refusal
 	if errors.As(err, &r) {
 		return r.rest
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -40,16 +40,16 @@
 var (
 	// ErrNotSent says that no byte of the request left for the upstream.
 	ErrNotSent = errs.NewType("not_sent").New("no byte of the request reached the upstream")
-	// ErrRefused says that the upstream itself refused before running the request.
-	ErrRefused = errs.NewType("refused").New("the upstream refused the request before running it")
-	// ErrLost says that the upstream may have run the request.
-	ErrLost = errs.NewType("lost").New("the upstream gave no whole answer, the request may have run")
+	// ErrRejected says that the upstream itself refused before running the request.
+	ErrRejected = errs.NewType("refused").New("the upstream refused the request before running it")
+	// ErrMayHaveRun says that the upstream may have run the request.
+	ErrMayHaveRun = errs.NewType("lost").New("the upstream gave no whole answer, the request may have run")
 	// ErrSevered is ErrLost where the upstream's end of the connection was closed or reset, as
 	// it is when its process ends. Silence, of a way that was cut or of an upstream that
 	// hangs, isn't that.
-	ErrSevered = fault.Because(ErrLost, "the upstream closed or reset the connection")
-	// ErrForeign says that the upstream answered with another request's id.
-	ErrForeign = errs.NewType("foreign").New("the upstream's answer belongs to another request")
+	ErrSevered = fault.Because(ErrMayHaveRun, "the upstream closed or reset the connection")
+	// ErrRequestMismatch says that the upstream answered with another request's id.
+	ErrRequestMismatch = errs.NewType("foreign").New("the upstream's answer belongs to another request")
 	// ErrOffset says that a stream began or went on at a wrong offset.
 	ErrOffset = errs.NewType("offset").New("the upstream's stream is at a wrong offset")
 	// ErrStalled says that the upstream was silent for too long.
@@ -181,17 +181,17 @@
 	ConnectTimeout time.Duration
 	IdlePerHost    int
 	IdleTimeout    time.Duration // 0: half a minute
-	// Silence is how long a peer's kernel may leave bytes or probes unacknowledged
+	// AckTimeout is how long a peer's kernel may leave bytes or probes unacknowledged
 	// before its connections count as broken; 0: the system's own, many minutes.
-	Silence time.Duration
+	AckTimeout time.Duration
 }
 
 // NewClient returns a client.
 func NewClient(clock *timer.Service, o Options) *Client {
 	d := &net.Dialer{Timeout: o.ConnectTimeout}
-	if o.Silence > 0 {
+	if o.AckTimeout > 0 {
 		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
-		d.Control = userTimeout(o.Silence)
+		d.Control = userTimeout(o.AckTimeout)
 	}
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = 30 * time.Second
@@ -229,9 +229,9 @@
 // Close ends the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Refuses tells whether an address refuses connections: nobody listens there. Silence, of a way
+// RefusesConnections tells whether an address refuses connections: nobody listens there. Silence, of a way
 // that is cut, isn't that.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	v, err := c.transport.DialContext(ctx, "tcp", address)
 	if err == nil {
 		_ = v.Close()
@@ -284,7 +284,7 @@
 	if Severed(err) {
 		return fault.Because(ErrSevered, "%v", err)
 	}
-	return fault.Because(ErrLost, "%v", err)
+	return fault.Because(ErrMayHaveRun, "%v", err)
 }
 
 // Severed tells whether an error of a connection means that its other end was closed or
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -75,7 +75,7 @@
 func TestTheTransportNeverRepeatsByItself(t *testing.T) {
 	n, err := runOnReused(t, newTestClient())
 	assert.EqualValues(t, 1, n)
-	assert.ErrorIs(t, err, ErrLost, "it ran, so it must not be told as not sent")
+	assert.ErrorIs(t, err, ErrMayHaveRun, "it ran, so it must not be told as not sent")
 	t.Run("without the guard it does", func(t *testing.T) {
 		c := newTestClient()
 		c.guardOnce = false
@@ -165,7 +165,7 @@
 		require.NoError(t, send(context.Background(), address))
 		err := send(context.Background(), address)
 		assert.ErrorIs(t, err, ErrSevered)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 	})
 	t.Run("closed before the whole request is sent", func(t *testing.T) {
 		address := forgetful(t, &runs)
@@ -185,14 +185,14 @@
 		q.ContentLength = 2
 		time.AfterFunc(20*time.Millisecond, cancel)
 		_, err = c.Do(q, false)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
 	t.Run("silent", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		err := send(ctx, silent(t))
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
 }
@@ -229,10 +229,10 @@
 	defer c.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	assert.False(t, c.Refuses(context.Background(), l.Addr().String()), "somebody listens")
+	assert.False(t, c.RefusesConnections(context.Background(), l.Addr().String()), "somebody listens")
 	require.NoError(t, l.Close())
-	assert.True(t, c.Refuses(context.Background(), l.Addr().String()))
+	assert.True(t, c.RefusesConnections(context.Background(), l.Addr().String()))
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.False(t, c.Refuses(gone, l.Addr().String()), "nothing is known")
+	assert.False(t, c.RefusesConnections(gone, l.Addr().String()), "nothing is known")
 }
