--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -90,8 +90,8 @@
 	return min(n, s.Limits.MaxTokens)
 }
 
-// Work returns what the dispatcher runs.
-func (p *ParsedChat) Work(r *request.Request, s *config.Service) *dispatch.Chat {
+// DispatchChat returns what the dispatcher runs.
+func (p *ParsedChat) DispatchChat(r *request.Request, s *config.Service) *dispatch.Chat {
 	texts := make([]string, len(p.Body.Messages))
 	roles := make([]string, len(p.Body.Messages))
 	for i := range p.Body.Messages {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -80,8 +80,8 @@
 	return &Server{o: o, prefix: o.Node + "." + hex.EncodeToString(b) + "."}
 }
 
-// Open returns the number of callers' requests in progress.
-func (s *Server) Open() int64 { return s.open.Load() }
+// InFlight returns the number of callers' requests in progress.
+func (s *Server) InFlight() int64 { return s.open.Load() }
 
 func (s *Server) newID() string {
 	return s.prefix + strconv.FormatUint(s.serial.Add(1), 36)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -327,7 +327,7 @@
 	if n.ingress == nil {
 		return 0
 	}
-	return n.ingress.Open()
+	return n.ingress.InFlight()
 }
 
 // onFact acts on a change of a VM's status, and passes it on at once.
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -45,7 +45,7 @@
 		return
 	}
 	s := w.Service(r.Service())
-	c := p.Work(r, s)
+	c := p.DispatchChat(r, s)
 	c.Deadline = n.clock.Now().Add(time.Duration(s.Timeout))
 	if r.Job() {
 		c.Deadline = n.clock.Now().Add(jobDeadline)
