--- a/internal/store/cloud.go
+++ b/internal/store/cloud.go
@@ -12,7 +12,7 @@
 	"spurhall.example/spurhall/internal/fault"
 )
 
-// Role is what a VM is for.
+// Role is the purpose of a VM.
 type Role string
 
 // The roles of a VM.
@@ -24,13 +24,13 @@
 // VMState is the state of a VM in the list.
 type VMState string
 
-// The states of a VM. A VM that is gone isn't listed.
+// The states of a VM. A VM that has been terminated isn't listed.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the VM list. The list lags behind the truth.
+// VM is one entry of the VM list. The list lags behind the actual state.
 type VM struct {
 	ID          string  `json:"id"`
 	Role        Role    `json:"role"`
@@ -46,15 +46,14 @@
 	Incarnation uint64  `json:"incarnation"`
 }
 
-// Notice is the cloud's word that a VM will be taken back.
+// Notice announces that the cloud will reclaim a VM.
 type Notice struct {
 	Sequence int64         `json:"sequence"`
 	VM       string        `json:"vm"`
 	Within   time.Duration `json:"within_ns"`
 }
 
-// StartOrder asks for a VM. ID names the intent: the same order sent twice
-// starts one VM.
+// StartOrder asks for a VM. ID makes the order idempotent: sent twice, it starts one VM.
 type StartOrder struct {
 	ID          string `json:"id"`
 	Service     string `json:"service"`
@@ -65,11 +64,10 @@
 	Fence       int64  `json:"fence"`
 }
 
-// ErrRejected says that the cloud won't start such a VM now.
+// ErrRejected means that the cloud can't start such a VM at present.
 var ErrRejected = errs.NewType("refused").New("the cloud refused to start the VM")
 
-// Offer is a kind of VM that the cloud may start, with its price and reclaim rate as
-// of now.
+// Offer is a kind of VM that the cloud offers, with its current price and reclaim rate.
 type Offer struct {
 	Service     string  `json:"service"`
 	Hall        string  `json:"hall"`
@@ -81,7 +79,7 @@
 	ReclaimRate float64 `json:"reclaim_rate"` // reclaims per hour
 }
 
-// Cloud is the VM list, the notices, the offers and the orders.
+// Cloud has the calls of the cloud API: the VM list, the notices, the offers and the orders.
 type Cloud struct {
 	Offers  func(ctx context.Context) ([]Offer, error)
 	VMs     func(ctx context.Context) ([]VM, error)
@@ -90,7 +88,7 @@
 	Stop    func(ctx context.Context, vm string, fence int64) error
 }
 
-// NewCloud returns the cloud at base, such as "http://127.0.0.1:2379".
+// NewCloud returns a client of the cloud API at base, such as "http://127.0.0.1:2379".
 func NewCloud(base string, timeout time.Duration) Cloud {
 	h := &cloudClient{base: strings.TrimSuffix(base, "/"), client: &http.Client{Timeout: timeout}}
 	return Cloud{
--- a/internal/store/dated.go
+++ b/internal/store/dated.go
@@ -10,72 +10,73 @@
 	"spurhall.example/spurhall/internal/fault"
 )
 
-// This file puts the era before all revisions of a store that may come back from an older copy of
-// itself (package era), and keeps calls that rest on an earlier era from reaching it:
+// This file adds the era to all revisions of a store that may be restored from an older copy
+// (package era), and stops calls that depend on an earlier era:
 //
-//   - a condition on a revision of another era doesn't hold: its number may be another write's by now;
-//   - a watch doesn't go on from one: what lies before its number may never have been heard;
-//   - a lease of another era is gone: its id may be another's, and renewing that would keep up a
-//     belief in a lease that nobody has.
+//   - a condition on a revision of another era fails: the number may by now belong to another write;
+//   - a watch doesn't resume from a revision of another era: changes before its number may have been
+//     missed;
+//   - a lease of another era counts as expired: its id may by now belong to another lease, and renewing
+//     that one would make the node rely on a lease that it doesn't hold.
 //
-// A call during which the era rises is treated as one whose answer was lost.
-
-// dated is a store whose era a clock knows.
-type dated struct {
-	kv    KV
-	clock *era.Clock
-	mu    sync.Mutex
-	eras  map[int64]int64 // by lease that was granted here: its era
+// A call during which the era rises is treated as one whose response was lost.
+
+// eraStore wraps a store and adds the era of its clock to revisions.
+type eraStore struct {
+	kv        KV
+	clock     *era.Clock
+	mu        sync.Mutex
+	leaseEras map[int64]int64 // eras of the leases that were granted through this eraStore, by lease
 }
 
-// WithEra returns a store whose revisions have their era in them. The clock hears of each answer of kv
-// before kv returns it.
+// WithEra returns a store whose revisions include their era. The clock must observe the era of each
+// response of kv before kv returns the response.
 func WithEra(kv KV, clock *era.Clock) KV {
-	d := &dated{kv: kv, clock: clock, eras: make(map[int64]int64)}
+	d := &eraStore{kv: kv, clock: clock, leaseEras: make(map[int64]int64)}
 	r := KV{Range: d.read, Txn: d.txn, Grant: d.grant, KeepAlive: d.keepAlive, Revoke: d.revoke, Watch: d.watch}
 	if kv.StaleRange != nil {
-		r.StaleRange = d.glance
+		r.StaleRange = d.staleRead
 	}
 	return r
 }
 
-// errRose says that the era rose during a call that changes nothing.
-var errRose = fault.Because(ErrUnavailable, "the store came back from a copy meanwhile")
+// errEraRose means that the era rose during a read or the grant of a lease; the call can be repeated.
+var errEraRose = fault.Because(ErrUnavailable, "the store came back from a copy meanwhile")
 
-func (d *dated) read(ctx context.Context, key, end string) (RangeResult, error) {
-	return d.dateRead(func() (RangeResult, error) { return d.kv.Range(ctx, key, end) })
+func (d *eraStore) read(ctx context.Context, key, end string) (RangeResult, error) {
+	return d.readWithEra(func() (RangeResult, error) { return d.kv.Range(ctx, key, end) })
 }
 
-func (d *dated) glance(ctx context.Context, prefix string) (RangeResult, error) {
-	return d.dateRead(func() (RangeResult, error) { return d.kv.StaleRange(ctx, prefix) })
+func (d *eraStore) staleRead(ctx context.Context, prefix string) (RangeResult, error) {
+	return d.readWithEra(func() (RangeResult, error) { return d.kv.StaleRange(ctx, prefix) })
 }
 
-func (d *dated) dateRead(f func() (RangeResult, error)) (RangeResult, error) {
+func (d *eraStore) readWithEra(f func() (RangeResult, error)) (RangeResult, error) {
 	now := d.clock.Now()
 	r, err := f()
 	if err != nil {
 		return r, err
 	}
-	if now == 0 { // the first answer says the era that it is of
+	if now == 0 { // the era is known from the first response on
 		now = d.clock.Now()
 	}
 	if d.clock.Now() != now {
-		return RangeResult{}, errRose
+		return RangeResult{}, errEraRose
 	}
-	if err := d.date(now, &r.Revision); err != nil {
+	if err := d.addEra(now, &r.Revision); err != nil {
 		return RangeResult{}, err
 	}
 	d.clock.See(r.Revision)
 	for i := range r.Pairs {
-		if err := d.date(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
+		if err := d.addEra(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
 			return RangeResult{}, err
 		}
 	}
 	return r, nil
 }
 
-// date turns the store's numbers into revisions.
-func (d *dated) date(now int64, numbers ...*int64) error {
+// addEra turns the store's revision numbers into revisions that include the era.
+func (d *eraStore) addEra(now int64, numbers ...*int64) error {
 	for _, n := range numbers {
 		r, err := era.Revision(now, *n)
 		if err != nil {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-func (d *dated) txn(ctx context.Context, t Txn) (TxnResult, error) {
+func (d *eraStore) txn(ctx context.Context, t Txn) (TxnResult, error) {
 	now := d.clock.Now()
 	raw := t
 	raw.If = make([]Compare, len(t.If))
@@ -101,7 +102,7 @@
 		raw.If[i] = c
 	}
 	for _, o := range append(t.Then[:len(t.Then):len(t.Then)], t.Else...) {
-		if o.Lease != 0 && !d.granted(now, o.Lease) {
+		if o.Lease != 0 && !d.leaseInEra(now, o.Lease) {
 			return TxnResult{}, ErrLeaseGone
 		}
 	}
@@ -113,12 +114,12 @@
 		return TxnResult{}, fault.Because(ErrUnknown, "the store came back from a copy meanwhile")
 	}
 	if r.Succeeded {
-		err = d.date(now, &r.Revision)
+		err = d.addEra(now, &r.Revision)
 	}
 	return r, err
 }
 
-func (d *dated) grant(ctx context.Context, ttl time.Duration) (int64, error) {
+func (d *eraStore) grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	now := d.clock.Now()
 	id, err := d.kv.Grant(ctx, ttl)
 	if err != nil {
@@ -128,17 +129,17 @@
 		now = d.clock.Now()
 	}
 	if d.clock.Now() != now {
-		return 0, errRose // it lapses, if it is there
+		return 0, errEraRose // if the lease exists, it expires
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.eras[id] = now
+	d.leaseEras[id] = now
 	return id, nil
 }
 
-func (d *dated) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
+func (d *eraStore) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
 	now := d.clock.Now()
-	if !d.granted(now, id) {
+	if !d.leaseInEra(now, id) {
 		d.forget(id)
 		return 0, ErrLeaseGone
 	}
@@ -152,8 +153,8 @@
 	return left, err
 }
 
-func (d *dated) revoke(ctx context.Context, id int64) error {
-	here := d.granted(d.clock.Now(), id)
+func (d *eraStore) revoke(ctx context.Context, id int64) error {
+	here := d.leaseInEra(d.clock.Now(), id)
 	d.forget(id)
 	if !here {
 		return nil
@@ -161,22 +162,22 @@
 	return d.kv.Revoke(ctx, id)
 }
 
-// granted tells whether a lease is of an era. One that wasn't granted here, as that of a process
-// before, was read in the era that is known.
-func (d *dated) granted(now, id int64) bool {
+// leaseInEra reports whether a lease belongs to an era. A lease that was not granted through this
+// eraStore, such as one of an earlier process, was read in the current era.
+func (d *eraStore) leaseInEra(now, id int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e, ok := d.eras[id]
+	e, ok := d.leaseEras[id]
 	return !ok || e == now
 }
 
-func (d *dated) forget(id int64) {
+func (d *eraStore) forget(id int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.eras, id)
+	delete(d.leaseEras, id)
 }
 
-func (d *dated) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
+func (d *eraStore) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
 	now := d.clock.Now()
 	n, ok := era.Within(now, s.From)
 	if !ok {
@@ -187,12 +188,12 @@
 		if d.clock.Now() != now {
 			return ErrCompacted
 		}
-		if err := d.date(now, &b.Revision); err != nil {
+		if err := d.addEra(now, &b.Revision); err != nil {
 			return err
 		}
 		d.clock.See(b.Revision)
 		for i := range b.Events {
-			if err := d.date(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
+			if err := d.addEra(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
 				return err
 			}
 		}
--- a/internal/store/gateway.go
+++ b/internal/store/gateway.go
@@ -16,8 +16,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// This file is the client side of etcd's v3 JSON gateway: keys and values in
-// base64 (encoding/json's own form of []byte), 64-bit numbers as strings.
+// This file is the client of etcd's v3 JSON gateway: keys and values are in base64, as
+// encoding/json encodes []byte, and 64-bit numbers are strings.
 
 // Gateway is a client of the JSON gateway at one address.
 type Gateway struct {
@@ -28,7 +28,7 @@
 }
 
 // NewGateway returns a client of the gateway at base, such as
-// "http://127.0.0.1:2379". Each call but a watch is given up after timeout.
+// "http://127.0.0.1:2379". The timeout applies to each call except a watch.
 func NewGateway(base string, timeout time.Duration, clock *timer.Service) *Gateway {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: timeout}).DialContext,
@@ -203,8 +203,8 @@
 	return g.call(ctx, "/v3/lease/revoke", jsonLease{lease}, &out)
 }
 
-// call posts in and reads out. Its error says whether the call can have had an
-// effect: not when no connection was made, else it may have.
+// call posts in and decodes the response into out. Its error is ErrUnavailable if no
+// connection was made, so that the call had no effect, and ErrUnknown if it may have had one.
 func (g *Gateway) call(ctx context.Context, path string, in, out any) error {
 	c, cancel := context.WithTimeout(ctx, g.timeout)
 	defer cancel()
@@ -274,17 +274,17 @@
 	} `json:"result"`
 }
 
-// watchSilence ends a watch that shows no sign of life: the service sends
-// progress notifications, so a longer silence means a dead connection.
-const watchSilence = 5 * time.Second
+// watchTimeout ends a watch that receives nothing: the service sends progress
+// notifications, so a longer gap means a broken connection.
+const watchTimeout = 5 * time.Second
 
 func (g *Gateway) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
 	key, end, revision := s.Key, s.End, s.From
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A watch that connects but gets no response header is as dead as a silent one.
-	guard := g.clock.Watchdog(c, watchSilence, cancel)
-	defer guard.Stop()
+	// The watchdog starts before the request: a connection without a response header is broken, too.
+	dog := g.clock.Watchdog(c, watchTimeout, cancel)
+	defer dog.Stop()
 	var in jsonWatchRequest
 	in.Create.Key, in.Create.RangeEnd = []byte(key), []byte(end)
 	in.Create.StartRevision, in.Create.Progress = revision, true
@@ -300,9 +300,9 @@
 	for {
 		var w jsonWatchResult
 		if err := d.Decode(&w); err != nil {
-			return watchEnd(ctx, err)
+			return watchError(ctx, err)
 		}
-		guard.Feed()
+		dog.Feed()
 		if w.Result.Compacted > 0 {
 			return ErrCompacted
 		}
@@ -312,7 +312,7 @@
 	}
 }
 
-func watchEnd(ctx context.Context, err error) error {
+func watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -12,8 +12,8 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// answering is a service whose calls end with the error given, and whose watches wait.
-func answering(err *error) KV {
+// stubKV returns a service whose calls return the given error, and whose watches wait for their context.
+func stubKV(err *error) KV {
 	return KV{
 		Range:     func(context.Context, string, string) (RangeResult, error) { return RangeResult{}, *err },
 		KeepAlive: func(context.Context, int64) (time.Duration, error) { return 0, *err },
@@ -28,37 +28,37 @@
 	return NewGuard(clock, GuardOptions{Reads: 1000, Writes: 1000})
 }
 
-// watching starts a watch and returns its end.
-func watching(ctx context.Context, kv KV) <-chan error {
+// startWatch starts a watch and returns a channel for its error.
+func startWatch(ctx context.Context, kv KV) <-chan error {
 	end := make(chan error, 1)
 	go func() { end <- kv.Watch(ctx, Span{Key: "k", From: 1}, func(WatchBatch) error { return nil }) }()
 	return end
 }
 
-func TestGuardDoubtsWatches(t *testing.T) {
+func TestFailedCallEndsWatches(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
 		ends bool
 	}{
-		{"a call without an answer", ErrUnknown, true},
-		{"a call that is turned away", ErrUnavailable, true},
+		{"a call without a response", ErrUnknown, true},
+		{"a call that is rejected", ErrUnavailable, true},
 		{"a call over the store's rate", ErrBudget, false},
-		{"a lease that is over", ErrLeaseGone, false},
-		{"an answer", nil, false},
+		{"an expired lease", ErrLeaseGone, false},
+		{"a response", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err, begun := c.err, make(chan struct{})
-			plain := answering(&err)
+			err, started := c.err, make(chan struct{})
+			plain := stubKV(&err)
 			waits := plain.Watch
 			plain.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
-				close(begun)
+				close(started)
 				return waits(ctx, s, f)
 			}
 			kv := newGuard(timer.Real()).Wrap(plain)
 			ctx, cancel := context.WithCancel(context.Background())
-			end := watching(ctx, kv)
-			<-begun
+			end := startWatch(ctx, kv)
+			<-started
 			ended := func() bool {
 				_, _ = kv.KeepAlive(ctx, 1)
 				return len(end) > 0
@@ -79,36 +79,37 @@
 	}
 }
 
-// TestGuardDoubtsTheOtherWatches: a store that forgets its history may leave all watches
-// that wait without an answer; the one that gives up first speaks for all.
-func TestGuardDoubtsTheOtherWatches(t *testing.T) {
-	kv := answering(new(error))
-	waits, begun := kv.Watch, make(chan struct{})
+// TestFailedWatchEndsOtherWatches: a store that loses its history may never respond to the waiting
+// watches, so the first watch that fails must end the others.
+func TestFailedWatchEndsOtherWatches(t *testing.T) {
+	kv := stubKV(new(error))
+	waits, started := kv.Watch, make(chan struct{})
 	fail := make(chan struct{})
 	kv.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
 		if s.Key != "short" {
-			close(begun)
+			close(started)
 			return waits(ctx, s, f)
 		}
 		<-fail
 		return ErrUnavailable
 	}
 	kv = newGuard(timer.Real()).Wrap(kv)
-	end := watching(context.Background(), kv)
-	<-begun
+	end := startWatch(context.Background(), kv)
+	<-started
 	go func() { _ = kv.Watch(context.Background(), Span{Key: "short"}, func(WatchBatch) error { return nil }) }()
 	require.Never(t, func() bool { return len(end) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
 	close(fail)
 	assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 }
 
-// TestWatcherThatHasSeenEnough: a watch that its caller ends is no failure of the store.
-func TestWatcherThatHasSeenEnough(t *testing.T) {
-	kv := answering(new(error))
-	waits, begun := kv.Watch, make(chan struct{})
+// TestCallbackErrorIsNoStoreFailure: an error of a watch's callback doesn't count as a failure of the
+// store.
+func TestCallbackErrorIsNoStoreFailure(t *testing.T) {
+	kv := stubKV(new(error))
+	waits, started := kv.Watch, make(chan struct{})
 	kv.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
 		if s.Key != "short" {
-			close(begun)
+			close(started)
 			return waits(ctx, s, f)
 		}
 		return f(WatchBatch{})
@@ -116,10 +117,10 @@
 	g := newGuard(timer.Real())
 	kv = g.Wrap(kv)
 	ctx, cancel := context.WithCancel(context.Background())
-	end := watching(ctx, kv)
-	<-begun
+	end := startWatch(ctx, kv)
+	<-started
 	enough := errors.New("enough")
-	for range 2 * breakerAfter {
+	for range 2 * breakerThreshold {
 		assert.ErrorIs(t, kv.Watch(ctx, Span{Key: "short"}, func(WatchBatch) error { return enough }), enough)
 	}
 	assert.True(t, g.Up())
@@ -128,35 +129,35 @@
 	assert.ErrorIs(t, <-end, context.Canceled)
 }
 
-func TestGuardBreaks(t *testing.T) {
+func TestBreakerOpensAfterFailures(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	err := error(ErrUnavailable)
 	g := newGuard(clock.Service())
-	kv := g.Wrap(answering(&err))
+	kv := g.Wrap(stubKV(&err))
 	read := func() error { _, e := kv.Range(context.Background(), "k", ""); return e }
-	for i := 0; i < breakerAfter; i++ {
+	for i := 0; i < breakerThreshold; i++ {
 		assert.ErrorIs(t, read(), ErrUnavailable)
 	}
 	err = nil
-	t.Run("no calls while it is open", func(t *testing.T) { assert.ErrorIs(t, read(), ErrUnavailable) })
-	t.Run("one answer closes it", func(t *testing.T) {
+	t.Run("no calls while the breaker is open", func(t *testing.T) { assert.ErrorIs(t, read(), ErrUnavailable) })
+	t.Run("one response closes it", func(t *testing.T) {
 		clock.Advance(backoffLimit)
 		assert.NoError(t, read())
 		assert.True(t, g.Up())
 	})
-	t.Run("a caller that leaves is no failure", func(t *testing.T) {
+	t.Run("a cancelled call is no failure", func(t *testing.T) {
 		err = errors.Join(context.Canceled)
-		for i := 0; i < 2*breakerAfter; i++ {
+		for i := 0; i < 2*breakerThreshold; i++ {
 			assert.ErrorIs(t, read(), context.Canceled)
 		}
 		assert.True(t, g.Up())
 	})
 }
 
-func TestGuardKeepsToItsRates(t *testing.T) {
+func TestGuardLimitsRates(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	err := error(nil)
-	kv := NewGuard(clock.Service(), GuardOptions{Reads: 1, Writes: 1}).Wrap(answering(&err))
+	kv := NewGuard(clock.Service(), GuardOptions{Reads: 1, Writes: 1}).Wrap(stubKV(&err))
 	made := 0
 	for i := 0; i < 100; i++ {
 		if _, e := kv.Range(context.Background(), "k", ""); e == nil {
--- a/internal/store/kv.go
+++ b/internal/store/kv.go
@@ -1,18 +1,18 @@
-// Package store speaks to what the operators already run: the key-value
-// service, the VM list with its notices, and the cloud API.
+// Package store has clients of the operators' services: the key-value service, the
+// VM list with its notices, and the cloud API.
 //
-// The key-value service is reached by etcd's published v3 JSON gateway over
-// net/http. KV is a struct of functions, so that another protocol is one file,
-// and so that a test can put a fault in front of a single call:
+// The key-value service is called through etcd's published v3 JSON gateway over
+// net/http. KV is a struct of functions, so that support for another protocol takes
+// one file, and so that a test can inject a fault into a single call:
 //
 //	kv := gateway.KV()
 //	kv.Txn = func(ctx context.Context, t Txn) (TxnResult, error) {
 //		return TxnResult{}, ErrUnknown
 //	}
 //
-// The one distinction that everything above relies on is ErrUnavailable (the
-// call had no effect) against ErrUnknown (it may have had one). A caller that
-// gets ErrUnknown reads back before it concludes anything.
+// All callers rely on the distinction between ErrUnavailable (the call had no
+// effect) and ErrUnknown (it may have had one). After ErrUnknown, a caller must read
+// the state back before it acts on it.
 package store
 
 import (
@@ -25,18 +25,18 @@
 var errs = errorx.NewNamespace("store")
 
 var (
-	// ErrUnavailable says that the call had no effect: try later.
+	// ErrUnavailable means that the call had no effect and can be repeated later.
 	ErrUnavailable = errs.NewType("unavailable").New("platform unavailable, the call had no effect")
-	// ErrUnknown says that the call may have had its effect: read back.
+	// ErrUnknown means that the call may have had an effect: the caller must read the state back.
 	ErrUnknown = errs.NewType("unknown").New("no answer from the platform, the call may have had its effect")
-	// ErrCompacted says that a watch asked for revisions already discarded.
+	// ErrCompacted means that a watch asked for revisions that the store has discarded.
 	ErrCompacted = errs.NewType("compacted").New("the watched revision is gone, read the range again")
-	// ErrBudget says that this node has used up its share of the platform's calls.
+	// ErrBudget means that this node has used up its share of the platform's call rate.
 	ErrBudget = errs.NewType("budget").New("this node's share of the platform's call rate is used up, the call was not made")
-	// ErrWatchUntrusted says that a watch was ended because another call failed: it may have
-	// missed changes. It is no outage: that is for the next read to tell.
+	// ErrWatchUntrusted means that a watch was ended because another call failed, so that it may
+	// have missed changes. It is no proof of an outage: the next read shows that.
 	ErrWatchUntrusted = errs.NewType("doubted").New("another call failed, this watch is no longer trusted")
-	// ErrLeaseGone says that a lease has expired or was revoked.
+	// ErrLeaseGone means that a lease has expired or was revoked.
 	ErrLeaseGone = errs.NewType("lease_gone").New("the lease has expired")
 )
 
@@ -50,7 +50,7 @@
 	Lease    int64
 }
 
-// RangeResult is what a read saw, and the revision it saw it at.
+// RangeResult is the result of a read, with the store's revision at the time.
 type RangeResult struct {
 	Revision int64
 	Pairs    []Pair
@@ -66,15 +66,15 @@
 	CompareModified
 )
 
-// Compare is one condition of a transaction: the property of the key equals the
-// number. Version 0 means that the key doesn't exist.
+// Compare is one condition of a transaction: a property of the key equals Number.
+// Version 0 means that the key doesn't exist.
 type Compare struct {
 	Key    string
 	Target CompareTarget
 	Number int64
 }
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind int
 
 // The operations of a transaction.
@@ -92,14 +92,14 @@
 	Lease int64
 }
 
-// Txn is a transaction: if all comparisons hold, Then is done, else Else.
+// Txn is a transaction: if all conditions of If hold, it executes Then, else Else.
 type Txn struct {
 	If   []Compare
 	Then []Op
 	Else []Op
 }
 
-// TxnResult tells which side was done and what its reads saw.
+// TxnResult has the branch that was executed and the results of its reads.
 type TxnResult struct {
 	Succeeded bool
 	Revision  int64
@@ -112,7 +112,7 @@
 	Pair    Pair
 }
 
-// WatchBatch is all the changes of one or more whole revisions.
+// WatchBatch has all changes of one or more complete revisions.
 type WatchBatch struct {
 	Revision int64
 	Events   []Event
@@ -121,29 +121,29 @@
 // KV is the key-value service.
 type KV struct {
 	Range func(ctx context.Context, key, end string) (RangeResult, error)
-	// StaleRange reads all keys of a prefix at a fraction of Range's cost; what it tells
-	// may be seconds old. A service without such reads leaves it nil.
+	// StaleRange reads all keys of a prefix at a fraction of Range's cost; its result may be
+	// seconds old. It is nil if the service has no such reads.
 	StaleRange func(ctx context.Context, prefix string) (RangeResult, error)
 	Txn        func(ctx context.Context, t Txn) (TxnResult, error)
 	Grant      func(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive  func(ctx context.Context, lease int64) (time.Duration, error)
 	Revoke     func(ctx context.Context, lease int64) error
-	// Watch calls f for each batch of the span, in order, until the context ends or f
-	// fails.
+	// Watch calls f for each batch of changes in the span, in order, until the context ends or
+	// f fails.
 	Watch func(ctx context.Context, s Span, f func(WatchBatch) error) error
 }
 
-// Span is what a watch tells of. Its end is exclusive, as everywhere here.
+// Span is the range of keys, and the first revision, of a watch. End is exclusive, as in all
+// ranges of this package.
 type Span struct {
 	Key, End string
-	From     int64 // the first revision that counts
-	// Wait is how long a service that is asked again and again may hold a question that
-	// has no answer; 0 leaves it to the service. It bounds how long the watch may be
-	// silently dead, and the end of each wait is a call.
+	From     int64 // the first revision to report
+	// Wait is how long a service that is polled may hold a call without events; 0 leaves it to
+	// the service. A shorter wait detects a broken watch sooner, but each wait ends with a new call.
 	Wait time.Duration
 }
 
-// PrefixSpan is the span of all keys of a prefix.
+// PrefixSpan returns the span of all keys with a prefix.
 func PrefixSpan(prefix string, from int64) Span {
 	return Span{Key: prefix, End: PrefixEnd(prefix), From: from}
 }
@@ -160,15 +160,15 @@
 	return "\x00"
 }
 
-// Put is the transaction that sets a key whatever it holds.
+// Put returns the transaction that sets a key unconditionally.
 func Put(key string, value []byte) Txn {
 	return Txn{Then: []Op{{Kind: OpPut, Key: key, Value: value}}}
 }
 
-// Absent is the comparison that holds when the key doesn't exist.
+// Absent returns the condition that the key doesn't exist.
 func Absent(key string) Compare { return Compare{Key: key, Target: CompareVersion} }
 
-// Unmodified is the comparison that holds while the key has that revision.
+// Unmodified returns the condition that the key's last change has the given revision.
 func Unmodified(key string, revision int64) Compare {
 	return Compare{Key: key, Target: CompareModified, Number: revision}
 }
