--- a/internal/upstream/abandon_test.go
+++ b/internal/upstream/abandon_test.go
@@ -16,21 +16,14 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// What users saw: a request reached an upstream 2.8 s after that had said that it leaves, 5.3 s after
-// its caller had got its final answer, and was run.
-//
-// Order of events: the way to an upstream is cut while a request is on it; the attempt is given up and
-// the caller answered; the way heals, and the kernel delivers what it had held.
-//
-// Cause: a connection that is given up was closed, not reset, and the kernel goes on sending what was
-// written to a closed one for as long as the other end is silent.
-//
-// Evidence: the operators' record has the caller's answer (502) at 12.985 s, and the request's arrival
-// from the same node at 18.316 s; the upstream had been silent from 8 s on. Six plays of the same day
-// with other luck didn't show it.
+// This file guards against the late delivery of aborted requests: an upstream received and ran a request
+// 5.3 s after its caller had got the final response (502), and 2.8 s after the upstream had announced that
+// it was leaving. The network to the upstream was partitioned while the request was being sent, and the
+// attempt was aborted. The connection was closed, not reset, so the kernel continued to send the buffered
+// bytes, which arrived when the partition healed. It depends on timing.
 
-// slowReader is a listener whose connections take next to nothing until they are read.
-func slowReader(t *testing.T) net.Listener {
+// slowListener returns a listener whose connections buffer very little until they are read.
+func slowListener(t *testing.T) net.Listener {
 	t.Helper()
 	c := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
@@ -46,9 +39,9 @@
 	return l
 }
 
-// TestAbandonedRequestsGoNoFurther: what the kernel holds of a request that is given up isn't sent on.
-func TestAbandonedRequestsGoNoFurther(t *testing.T) {
-	l := slowReader(t)
+// TestAbortedRequestIsNotDelivered: bytes of an aborted request that the kernel has buffered are not sent.
+func TestAbortedRequestIsNotDelivered(t *testing.T) {
+	l := slowListener(t)
 	body := bytes.Repeat([]byte("x"), 512<<10)
 	client := NewClient(timer.Real(), Options{ConnectTimeout: time.Second})
 	defer client.Close()
@@ -66,11 +59,11 @@
 	c, err := l.Accept()
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	time.Sleep(200 * time.Millisecond) // the kernel has taken what it takes
+	time.Sleep(200 * time.Millisecond) // the kernel's buffers are full
 	cancel()
 	assert.ErrorIs(t, <-done, ErrMayHaveRun)
 	time.Sleep(50 * time.Millisecond)
 	b, err := io.ReadAll(c)
 	assert.Error(t, err, "the connection is reset")
-	assert.Less(t, len(b), 64<<10, "and what hadn't arrived isn't sent")
+	assert.Less(t, len(b), 64<<10, "bytes that had not arrived are not sent")
 }
--- a/internal/upstream/chat.go
+++ b/internal/upstream/chat.go
@@ -15,8 +15,8 @@
 	"spurhall.example/spurhall/internal/fault"
 )
 
-// This file speaks to model engines: streamed chat completions, and the calls
-// that move a stream from one engine to another.
+// This file has the calls to model engines: streamed chat completions, and the calls that
+// move a stream from one engine to another.
 
 // Message is one message of a chat.
 type Message struct {
@@ -24,8 +24,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Text returns the message's content as text; content in parts is taken as its
-// JSON.
+// Text returns the message's content as text; content in parts is returned as JSON.
 func (m *Message) Text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
@@ -38,13 +37,13 @@
 type ChatCall struct {
 	RequestID         string
 	Address           string
-	Body              map[string]json.RawMessage // the caller's, as it came
+	Body              map[string]json.RawMessage // as received from the caller
 	MaxTokens         int
 	Priority          int // lower goes first
-	Offset            int // tokens the caller has already
+	Offset            int // tokens that the caller has already received
 	Text              string
-	FirstTokenTimeout time.Duration // longest silence before the first token
-	TokenTimeout      time.Duration // longest silence between tokens
+	FirstTokenTimeout time.Duration // until the first token
+	TokenTimeout      time.Duration // between two tokens
 	Traceparent       string
 }
 
@@ -89,9 +88,8 @@
 	return json.Marshal(b)
 }
 
-// Chat sends one attempt and gives each chunk to f, in order and without gaps
-// from the offset asked for. It returns nil only after the engine's own word that
-// the answer is whole.
+// Chat sends one attempt and passes each chunk to f, in order and without gaps from the
+// requested offset. It returns nil only if the engine has marked the response as complete.
 func (c *Client) Chat(ctx context.Context, call *ChatCall, f func(Chunk) error) error {
 	b, err := call.encode()
 	if err != nil {
@@ -113,32 +111,32 @@
 	a, err := c.Do(r, false)
 	if err != nil {
 		dog.Stop()
-		return stalled(x, err)
+		return stallError(x, err)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
 		dog.Stop()
 		return statusError(a)
 	}
-	err = call.read(a.Body, func(k Chunk) error {
+	err = call.readStream(a.Body, func(k Chunk) error {
 		dog.Stop()
 		dog = c.clock.Watchdog(x, call.TokenTimeout, stall)
 		return f(k)
 	})
 	dog.Stop()
-	return stalled(x, err)
+	return stallError(x, err)
 }
 
-// stalled names a silence as the cause of an error, if it was.
-func stalled(x context.Context, err error) error {
+// stallError returns ErrStalled if a stall caused the error, else the error.
+func stallError(x context.Context, err error) error {
 	if err != nil && context.Cause(x) == ErrStalled { //nolint:errorlint // set by us, never wrapped
 		return fault.Because(ErrStalled, "%v", err)
 	}
 	return err
 }
 
-// statusError reads a refusal. An engine says 429 or 503 before it runs anything;
-// any other status may have come after it began.
+// statusError returns the error for a status other than 200. An engine responds with 429 or
+// 503 before it runs anything; any other status may come after it has started.
 func statusError(a *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(a.Body, 512))
 	if a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusTooManyRequests {
@@ -158,14 +156,14 @@
 	Usage Usage `json:"usage"`
 }
 
-// maxEvent bounds one line of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the length of one line of a stream.
+const maxEventBytes = 1 << 20
 
-// read reads server-sent events. The event's id is the offset; an engine that
-// sends none is counted from the offset asked for.
-func (c *ChatCall) read(b io.Reader, f func(Chunk) error) error {
+// readStream reads server-sent events. The event's id is the offset; if an engine sends no
+// ids, events are counted from the requested offset.
+func (c *ChatCall) readStream(b io.Reader, f func(Chunk) error) error {
 	s := bufio.NewScanner(b)
-	s.Buffer(make([]byte, 0, 4096), maxEvent)
+	s.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	next, offset, finished := c.Offset, -1, false
 	for s.Scan() {
 		line := s.Text()
@@ -188,7 +186,7 @@
 			}
 			return nil
 		}
-		k, err := c.chunk(v, offset, next)
+		k, err := c.parseChunk(v, offset, next)
 		if err != nil {
 			return err
 		}
@@ -205,12 +203,12 @@
 		}
 	}
 	if err := s.Err(); err != nil {
-		return lost(err)
+		return sentError(err)
 	}
 	return fault.Because(ErrMayHaveRun, "the stream was cut at offset %d", next)
 }
 
-func (c *ChatCall) chunk(v string, offset, next int) (Chunk, error) {
+func (c *ChatCall) parseChunk(v string, offset, next int) (Chunk, error) {
 	var j chunkJSON
 	if err := json.Unmarshal([]byte(v), &j); err != nil {
 		return Chunk{}, fault.Because(ErrMayHaveRun, "malformed event: %v", err)
@@ -231,17 +229,17 @@
 	return k, nil
 }
 
-// Export asks an engine to send the KV cache of a request to another.
+// Export asks an engine to send the KV cache of a request to another engine.
 func (c *Client) Export(ctx context.Context, address, request, to string) error {
-	return c.small(ctx, address, "/v1/kv/export", map[string]string{"request": request, "to": to})
+	return c.post(ctx, address, "/v1/kv/export", map[string]string{"request": request, "to": to})
 }
 
 // Cancel tells an engine to stop generating for a request.
 func (c *Client) Cancel(ctx context.Context, address, request string) error {
-	return c.small(ctx, address, "/v1/cancel", map[string]string{"request": request})
+	return c.post(ctx, address, "/v1/cancel", map[string]string{"request": request})
 }
 
-func (c *Client) small(ctx context.Context, address, path string, in any) error {
+func (c *Client) post(ctx context.Context, address, path string, in any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -262,7 +260,7 @@
 	return nil
 }
 
-// Load is an engine's report of itself.
+// Load is the load that an engine reports.
 type Load struct {
 	Running int32 `json:"running"`
 	Queued  int32 `json:"queued"`
--- a/internal/upstream/chat_test.go
+++ b/internal/upstream/chat_test.go
@@ -20,9 +20,9 @@
 	return fmt.Sprintf("data: {\"id\":\"chatcmpl-%s\",\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id)
 }
 
-// chatWith runs one attempt, from an offset on, against an engine that answers with
-// the given text, and returns what came through.
-func chatWith(t *testing.T, offset int, body string) (string, error) {
+// runChat runs one attempt, from an offset on, against an engine that responds with the given
+// body, and returns the text received.
+func runChat(t *testing.T, offset int, body string) (string, error) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }))
 	defer s.Close()
 	var got strings.Builder
@@ -35,7 +35,7 @@
 	return got.String(), err
 }
 
-func TestChatTakesOnlyItsOwnWholeStream(t *testing.T) {
+func TestChatAcceptsOnlyCompleteStreamOfItsRequest(t *testing.T) {
 	cases := []struct {
 		name   string
 		offset int
@@ -43,21 +43,21 @@
 		want   error
 		text   string
 	}{
-		{"whole", 0, event("r", 0, "a") + event("r", 1, "b") + end("r"), nil, "ab"},
+		{"complete", 0, event("r", 0, "a") + event("r", 1, "b") + end("r"), nil, "ab"},
 		{"resumed", 2, event("r", 2, "c") + end("r"), nil, "c"},
 		{"another request's", 0, event("r", 0, "a") + event("q", 1, "b"), ErrRequestMismatch, "a"},
 		{"resumed from the start", 2, event("r", 0, "a") + end("r"), ErrOffset, ""},
 		{"resumed too late", 2, event("r", 3, "d") + end("r"), ErrOffset, ""},
 		{"a token twice", 0, event("r", 0, "a") + event("r", 0, "a"), ErrOffset, "a"},
 		{"a token missing", 0, event("r", 0, "a") + event("r", 2, "c"), ErrOffset, "a"},
-		{"cut", 0, event("r", 0, "a"), ErrMayHaveRun, "a"},
-		{"cut before the last word", 0, event("r", 0, "a") + "data: [DONE]\n\n", ErrMayHaveRun, "a"},
+		{"truncated", 0, event("r", 0, "a"), ErrMayHaveRun, "a"},
+		{"without a finish reason", 0, event("r", 0, "a") + "data: [DONE]\n\n", ErrMayHaveRun, "a"},
 		{"overlong", 0, strings.TrimSuffix(end("r"), "data: [DONE]\n\n") + event("r", 0, "a"), ErrOffset, ""},
 		{"malformed", 0, "data: {\n\n", ErrMayHaveRun, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := chatWith(t, c.offset, c.body)
+			got, err := runChat(t, c.offset, c.body)
 			assert.Equal(t, c.text, got)
 			if c.want == nil {
 				assert.NoError(t, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSilentEngineIsLeft(t *testing.T) {
+func TestSilentEngineStalls(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte(event("r", 0, "a")))
 		w.(http.Flusher).Flush()
@@ -81,8 +81,8 @@
 	assert.ErrorIs(t, err, ErrStalled)
 }
 
-// FuzzChatStream: whatever an engine sends, tokens come through in order, without
-// gaps, and only from events that bear the request's id.
+// FuzzChatStream: whatever an engine sends, tokens are passed on in order, without gaps, and
+// only from events with the request's id.
 func FuzzChatStream(f *testing.F) {
 	f.Add(event("r", 0, "a")+end("r"), 0)
 	f.Add(event("q", 0, "a"), 0)
@@ -94,7 +94,7 @@
 		}
 		next := offset
 		c := &ChatCall{RequestID: "r", Offset: offset}
-		_ = c.read(strings.NewReader(body), func(k Chunk) error {
+		_ = c.readStream(strings.NewReader(body), func(k Chunk) error {
 			if k.Text == "" {
 				return nil
 			}
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -1,20 +1,18 @@
-// Package upstream sends requests to upstreams over net/http, and knows after a
-// failure whether any byte of the request may have reached them. "Not run" may
-// only be told when none has.
+// Package upstream sends requests to upstreams over net/http, and determines after a
+// failure whether any byte of the request may have reached the upstream. The caller may
+// be told that a request was not run only if none has.
 //
-// Three habits of net/http's transport stand in the way, and each has its guard
-// here:
+// Three properties of net/http's transport matter for this:
 //
-//   - It sends a request again by itself when a reused connection breaks, if it
-//     takes the request for idempotent. A POST with an Idempotency-Key header and
-//     no body counts as such, which would run a proof approval twice. So a request
-//     that may not be repeated always carries a body of a kind the transport can't
-//     rewind (see once).
-//   - It returns on a cancelled context while its writer may be just about to
-//     write. So after a failure the connection is sealed first, and only then
-//     asked whether a write had begun.
-//   - It follows no redirects by itself when used as a transport, which is wanted:
-//     an upstream's redirect is the caller's to follow.
+//   - It resends a request when a reused connection breaks, if it considers the request
+//     idempotent. A POST with an Idempotency-Key header and no body counts as such, which
+//     would run a proof approval twice. So a request that must not be repeated always
+//     has a body that the transport can't rewind (see oneShotBody).
+//   - It returns when the context is cancelled although its writer may be about to
+//     write. So after a failure the connection is sealed before the writes on it are
+//     counted.
+//   - It doesn't follow redirects when used as a transport. That is intended: a redirect
+//     is returned to the caller.
 package upstream
 
 import (
@@ -38,28 +36,28 @@
 var errs = errorx.NewNamespace("upstream")
 
 var (
-	// ErrNotSent says that no byte of the request left for the upstream.
+	// ErrNotSent means that no byte of the request was sent to the upstream.
 	ErrNotSent = errs.NewType("not_sent").New("no byte of the request reached the upstream")
-	// ErrRejected says that the upstream itself refused before running the request.
+	// ErrRejected means that the upstream rejected the request without running it.
 	ErrRejected = errs.NewType("refused").New("the upstream refused the request before running it")
-	// ErrMayHaveRun says that the upstream may have run the request.
+	// ErrMayHaveRun means that the upstream may have run the request.
 	ErrMayHaveRun = errs.NewType("lost").New("the upstream gave no whole answer, the request may have run")
-	// ErrSevered is ErrLost where the upstream's end of the connection was closed or reset, as
-	// it is when its process ends. Silence, of a way that was cut or of an upstream that
-	// hangs, isn't that.
+	// ErrSevered is ErrMayHaveRun for a connection that the upstream's side closed or reset, as
+	// happens when its process ends. It doesn't cover an unresponsive upstream, whether it hangs
+	// or is behind a network partition.
 	ErrSevered = fault.Because(ErrMayHaveRun, "the upstream closed or reset the connection")
-	// ErrRequestMismatch says that the upstream answered with another request's id.
+	// ErrRequestMismatch means that the upstream's response has another request's id.
 	ErrRequestMismatch = errs.NewType("foreign").New("the upstream's answer belongs to another request")
-	// ErrOffset says that a stream began or went on at a wrong offset.
+	// ErrOffset means that a stream started or continued at a wrong offset.
 	ErrOffset = errs.NewType("offset").New("the upstream's stream is at a wrong offset")
-	// ErrStalled says that the upstream was silent for too long.
+	// ErrStalled means that the upstream sent nothing for too long.
 	ErrStalled = errs.NewType("stalled").New("the upstream was silent for too long")
 )
 
 var errSealed = errors.New("connection sealed")
 
-// conn notes each write before it begins, and can be sealed against further ones. It remembers that
-// its other end has ended it.
+// conn counts each write before it starts, and can be sealed against further writes. It records whether
+// its peer has closed or reset the connection.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -68,9 +66,9 @@
 	severed bool
 }
 
-// Read notes that the other end has closed or reset the connection. The transport closes its own end
-// then, and may be about to write: what it returns is that write's error, which tells nothing of who
-// ended the connection.
+// Read records that the peer has closed or reset the connection. The transport then closes its own end
+// and may be about to write; it returns the error of that write, which doesn't show which end closed
+// the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil && Severed(err) {
@@ -98,9 +96,10 @@
 	return c.Conn.Write(b)
 }
 
-// Close resets the connection. One that is closed goes on delivering what the kernel holds of a request
-// that was given up: over a way that was cut, it reaches its upstream when the cut heals, seconds after its
-// caller was answered. An answer that was read whole shows that its request had arrived, so nothing is lost.
+// Close resets the connection. After an ordinary close, the kernel continues to deliver the buffered bytes
+// of an aborted request: after a network partition, it would reach the upstream when the partition heals,
+// seconds after the caller got its response. A request whose response was read completely has arrived, so
+// a reset loses nothing.
 func (c *conn) Close() error {
 	var e error
 	if t, ok := c.Conn.(*net.TCPConn); ok {
@@ -109,13 +108,13 @@
 	return errors.Join(e, c.Conn.Close())
 }
 
-func (c *conn) count() int {
+func (c *conn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids further writes and returns how many had begun.
+// seal prevents further writes and returns the number of writes that have started.
 func (c *conn) seal() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,66 +122,67 @@
 	return c.writes
 }
 
-// use is one request's use of connections: usually one, more if the transport
-// found that a reused one was dead.
-type use struct {
-	mu    sync.Mutex
-	conns []*conn
-	base  []int
-	seal  bool
+// connUse records the connections that one request used: usually one, more if the transport
+// found a reused connection broken.
+type connUse struct {
+	mu           sync.Mutex
+	conns        []*conn
+	writesBefore []int
+	seal         bool
 }
 
-func (u *use) got(i httptrace.GotConnInfo) {
+func (u *connUse) gotConn(i httptrace.GotConnInfo) {
 	c, ok := i.Conn.(*conn)
 	if !ok {
 		return
 	}
-	n := c.count()
+	n := c.writeCount()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.conns = append(u.conns, c)
-	u.base = append(u.base, n)
+	u.writesBefore = append(u.writesBefore, n)
 }
 
-// wrote seals every connection used and tells whether a write of this request had
-// begun on any.
-func (u *use) wrote() bool {
+// wrote seals all connections used, and reports whether a write of this request has started
+// on any of them.
+func (u *connUse) wrote() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	any := false
+	started := false
 	for i, c := range u.conns {
-		n := c.count()
+		n := c.writeCount()
 		if u.seal {
 			n = c.seal()
 		}
-		any = any || n > u.base[i]
+		started = started || n > u.writesBefore[i]
 	}
-	return any
+	return started
 }
 
-// severed tells whether the other end of a connection in use has ended it.
-func (u *use) severed() bool {
+// severed reports whether the peer has closed or reset a connection of this request.
+func (u *connUse) severed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.ContainsFunc(u.conns, (*conn).wasSevered)
 }
 
-// Client sends to upstreams.
+// Client sends requests to upstreams.
 type Client struct {
 	transport *http.Transport
 	clock     *timer.Service
-	// The guards of the habits above; a test takes each out to show what it is for.
-	guardOnce bool
-	guardSeal bool
+	// The measures against resent requests and late writes (see the package comment); tests switch each off
+	// to show its effect.
+	guardReplay bool
+	guardSeal   bool
 }
 
-// Options sets a client.
+// Options configures a Client.
 type Options struct {
 	ConnectTimeout time.Duration
 	IdlePerHost    int
 	IdleTimeout    time.Duration // 0: half a minute
 	// AckTimeout is how long a peer's kernel may leave bytes or probes unacknowledged
-	// before its connections count as broken; 0: the system's own, many minutes.
+	// before its connections count as broken; 0: the system's default, many minutes.
 	AckTimeout time.Duration
 }
 
@@ -191,7 +191,7 @@
 	d := &net.Dialer{Timeout: o.ConnectTimeout}
 	if o.AckTimeout > 0 {
 		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
-		d.Control = userTimeout(o.AckTimeout)
+		d.Control = setUserTimeout(o.AckTimeout)
 	}
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = 30 * time.Second
@@ -208,12 +208,12 @@
 		IdleConnTimeout:     o.IdleTimeout,
 		DisableCompression:  true, // bodies pass through as they are
 	}
-	return &Client{transport: t, clock: clock, guardOnce: true, guardSeal: true}
+	return &Client{transport: t, clock: clock, guardReplay: true, guardSeal: true}
 }
 
-// userTimeout sets how long sent bytes may stay unacknowledged: a VM that lost power or
-// is cut off says nothing, and a connection to it would hang.
-func userTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
+// setUserTimeout sets how long sent bytes may stay unacknowledged: a connection to a VM that lost
+// power or is partitioned would otherwise hang.
+func setUserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
 		e := c.Control(func(fd uintptr) {
@@ -223,14 +223,14 @@
 	}
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall doesn't name.
+// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall doesn't define.
 const tcpUserTimeout = 18
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// RefusesConnections tells whether an address refuses connections: nobody listens there. Silence, of a way
-// that is cut, isn't that.
+// RefusesConnections reports whether an address refuses connections, so that no process listens there. It
+// is false if the address doesn't respond, as in a network partition.
 func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	v, err := c.transport.DialContext(ctx, "tcp", address)
 	if err == nil {
@@ -239,7 +239,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Reachable tells whether a connection can be made to an address. It sends nothing.
+// Reachable reports whether an address accepts connections. It sends no data.
 func (c *Client) Reachable(ctx context.Context, address string) bool {
 	v, err := c.transport.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -249,22 +249,22 @@
 	return true
 }
 
-// once is a body that the transport can't rewind or take for absent.
-type once struct{ io.Reader }
+// oneShotBody is a body that the transport can neither rewind nor treat as absent.
+type oneShotBody struct{ io.Reader }
 
-func (once) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
-// Do sends a request once. Its error is ErrNotSent or ErrLost; a nil error means
-// that an answer's header arrived.
+// Do sends a request once. Its error is ErrNotSent or ErrMayHaveRun; a nil error means
+// that the header of a response arrived.
 func (c *Client) Do(r *http.Request, repeatable bool) (*http.Response, error) {
-	u := use{seal: c.guardSeal}
-	s := r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{GotConn: u.got}))
-	if !repeatable && c.guardOnce {
+	u := connUse{seal: c.guardSeal}
+	s := r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{GotConn: u.gotConn}))
+	if !repeatable && c.guardReplay {
 		b := s.Body
 		if b == nil {
 			b = http.NoBody
 		}
-		s.Body, s.GetBody = once{b}, nil
+		s.Body, s.GetBody = oneShotBody{b}, nil
 	}
 	a, err := c.transport.RoundTrip(s)
 	if err == nil {
@@ -276,19 +276,18 @@
 	case errors.Is(err, net.ErrClosed) && u.severed():
 		return nil, fault.Because(ErrSevered, "%v", err)
 	}
-	return nil, lost(err)
+	return nil, sentError(err)
 }
 
-// lost is what a connection's error means for a request that was sent.
-func lost(err error) error {
+// sentError returns the error for a request that was sent when its connection failed with err.
+func sentError(err error) error {
 	if Severed(err) {
 		return fault.Because(ErrSevered, "%v", err)
 	}
 	return fault.Because(ErrMayHaveRun, "%v", err)
 }
 
-// Severed tells whether an error of a connection means that its other end was closed or
-// reset.
+// Severed reports whether an error of a connection means that the peer closed or reset it.
 func Severed(err error) bool {
 	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -23,9 +23,9 @@
 	return NewClient(timer.Real(), Options{ConnectTimeout: time.Second, IdlePerHost: 4})
 }
 
-// forgetful answers the first request of each connection and, from the second on,
-// runs the request and closes the connection without a word.
-func forgetful(t *testing.T, runs *atomic.Int64) string {
+// dropAfterFirst starts a service that responds to the first request of each connection, and runs
+// the second but closes the connection without a response. It returns the address.
+func dropAfterFirst(t *testing.T, runs *atomic.Int64) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -57,11 +57,11 @@
 	return l.Addr().String()
 }
 
-// runOnReused opens a connection with one request and sends a keyed one without a
-// body over it, which the service runs without answering.
-func runOnReused(t *testing.T, c *Client) (int64, error) {
+// sendOnReusedConn opens a connection with one request, and then sends a POST with an idempotency
+// key and no body over it, which the service runs without a response.
+func sendOnReusedConn(t *testing.T, c *Client) (int64, error) {
 	var runs atomic.Int64
-	a := forgetful(t, &runs)
+	a := dropAfterFirst(t, &runs)
 	r, _ := http.NewRequest(http.MethodGet, "http://"+a+"/", nil)
 	s, err := c.Do(r, true)
 	require.NoError(t, err)
@@ -72,21 +72,21 @@
 	return runs.Load(), err
 }
 
-func TestTheTransportNeverRepeatsByItself(t *testing.T) {
-	n, err := runOnReused(t, newTestClient())
+func TestTransportDoesNotResend(t *testing.T) {
+	n, err := sendOnReusedConn(t, newTestClient())
 	assert.EqualValues(t, 1, n)
-	assert.ErrorIs(t, err, ErrMayHaveRun, "it ran, so it must not be told as not sent")
-	t.Run("without the guard it does", func(t *testing.T) {
+	assert.ErrorIs(t, err, ErrMayHaveRun, "it ran, so it must not be reported as not sent")
+	t.Run("without the guard it resends", func(t *testing.T) {
 		c := newTestClient()
-		c.guardOnce = false
-		n, _ := runOnReused(t, c)
+		c.guardReplay = false
+		n, _ := sendOnReusedConn(t, c)
 		assert.EqualValues(t, 2, n)
 	})
 }
 
-func TestNotSentMeansNotSent(t *testing.T) {
+func TestErrNotSent(t *testing.T) {
 	c := newTestClient()
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		a := l.Addr().String()
@@ -117,22 +117,22 @@
 				sent++
 			}
 		}
-		assert.LessOrEqual(t, runs.Load(), sent, "a request told as not sent has run")
+		assert.LessOrEqual(t, runs.Load(), sent, "a request reported as not sent has run")
 	})
 }
 
-// The context may end between the moment a connection is given to a request and
-// the moment its writer writes. The seal decides who was first.
-func TestSealStopsAWriteThatHasNotBegun(t *testing.T) {
+// The context may end after a request got its connection and before the transport writes to it. A
+// write that has not started when the connection is sealed must fail.
+func TestSealStopsLateWrite(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		a, b := net.Pipe()
 		go func() { _, _ = bufio.NewReader(b).ReadByte() }()
 		c := &conn{Conn: a}
-		u := &use{conns: []*conn{c}, base: []int{0}, seal: guarded}
+		u := &connUse{conns: []*conn{c}, writesBefore: []int{0}, seal: guarded}
 		assert.False(t, u.wrote())
 		_, err := c.Write([]byte("x"))
 		if guarded {
-			assert.Error(t, err, "told as not sent, so it must not be sent")
+			assert.Error(t, err, "reported as not sent, so it must not be sent")
 		} else {
 			assert.NoError(t, err, "without the seal the late write goes out")
 		}
@@ -140,14 +140,13 @@
 	}
 }
 
-// TestSeveredIsTheUpstreamsDoing: a connection that the upstream closes or resets is told from
-// one that falls silent. Both are lost, and only the first says something of the upstream.
+// TestSevered: a connection that the upstream closes or resets is distinguished from one that becomes
+// unresponsive. Both are ErrMayHaveRun, and only the first is evidence about the upstream.
 //
-// What was seen, once, on an idle machine: an upstream that closed the connection was taken for a silent
-// one. The transport reads that the connection was closed and closes its own end while it is about to write
-// the next part of the request; the error that comes out is the write's, "use of closed network connection",
-// which tells nothing of who closed first.
-func TestSeveredIsTheUpstreamsDoing(t *testing.T) {
+// It also guards against a race: the transport reads that the upstream closed the connection, and closes
+// its own end while it is about to write the next part of the request. The resulting error is that of the
+// write, "use of closed network connection", which doesn't show which end closed first.
+func TestSevered(t *testing.T) {
 	var runs atomic.Int64
 	c := newTestClient()
 	defer c.Close()
@@ -161,14 +160,14 @@
 		return err
 	}
 	t.Run("closed", func(t *testing.T) {
-		address := forgetful(t, &runs)
+		address := dropAfterFirst(t, &runs)
 		require.NoError(t, send(context.Background(), address))
 		err := send(context.Background(), address)
 		assert.ErrorIs(t, err, ErrSevered)
 		assert.ErrorIs(t, err, ErrMayHaveRun)
 	})
-	t.Run("closed before the whole request is sent", func(t *testing.T) {
-		address := forgetful(t, &runs)
+	t.Run("closed before the complete request is sent", func(t *testing.T) {
+		address := dropAfterFirst(t, &runs)
 		require.NoError(t, send(context.Background(), address))
 		body := &slowBody{first: "x", second: "y", pause: 100 * time.Millisecond}
 		q, err := http.NewRequest("POST", "http://"+address+"/run", body)
@@ -177,10 +176,10 @@
 		_, err = c.Do(q, false)
 		assert.ErrorIs(t, err, ErrSevered)
 	})
-	t.Run("given up by the caller while it is sent", func(t *testing.T) {
+	t.Run("cancelled by the caller while it is sent", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		body := &slowBody{first: "x", second: "y", pause: 100 * time.Millisecond}
-		q, err := http.NewRequestWithContext(ctx, "POST", "http://"+silent(t)+"/run", body)
+		q, err := http.NewRequestWithContext(ctx, "POST", "http://"+silentUpstream(t)+"/run", body)
 		require.NoError(t, err)
 		q.ContentLength = 2
 		time.AfterFunc(20*time.Millisecond, cancel)
@@ -188,24 +187,24 @@
 		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
-	t.Run("silent", func(t *testing.T) {
+	t.Run("unresponsive", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		err := send(ctx, silent(t))
+		err := send(ctx, silentUpstream(t))
 		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
 }
 
-// silent returns the address of an upstream that takes connections and says nothing.
-func silent(t *testing.T) string {
+// silentUpstream returns the address of an upstream that accepts connections and sends nothing.
+func silentUpstream(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	return l.Addr().String()
 }
 
-// slowBody is a body in two parts, the second of which comes after a pause.
+// slowBody is a request body in two parts with a pause between them.
 type slowBody struct {
 	first, second string
 	pause         time.Duration
@@ -224,15 +223,15 @@
 	return 0, io.EOF
 }
 
-func TestRefuses(t *testing.T) {
+func TestRefusesConnections(t *testing.T) {
 	c := newTestClient()
 	defer c.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	assert.False(t, c.RefusesConnections(context.Background(), l.Addr().String()), "somebody listens")
+	assert.False(t, c.RefusesConnections(context.Background(), l.Addr().String()), "a process listens")
 	require.NoError(t, l.Close())
 	assert.True(t, c.RefusesConnections(context.Background(), l.Addr().String()))
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.False(t, c.RefusesConnections(gone, l.Addr().String()), "nothing is known")
+	assert.False(t, c.RefusesConnections(cancelled, l.Addr().String()), "the address was not dialled")
 }
