--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -19,15 +19,15 @@
 	"spurhall.example/spurhall/internal/upstream"
 )
 
-// chatBody is what this side needs of a chat completion's body; the rest passes
-// through.
+// chatBody has the fields of a chat completion's body that this package uses; the others are
+// forwarded unread.
 type chatBody struct {
-	Model     string             `json:"model"`
-	Messages  []upstream.Message `json:"messages"`
-	Stream    bool               `json:"stream"`
-	MaxTokens *int               `json:"max_tokens"`
-	MaxNew    *int               `json:"max_completion_tokens"`
-	N         *int               `json:"n"`
+	Model               string             `json:"model"`
+	Messages            []upstream.Message `json:"messages"`
+	Stream              bool               `json:"stream"`
+	MaxTokens           *int               `json:"max_tokens"`
+	MaxCompletionTokens *int               `json:"max_completion_tokens"`
+	N                   *int               `json:"n"`
 }
 
 type chatRequest struct {
@@ -40,7 +40,7 @@
 	trace     string
 }
 
-// ParsedChat is a chat completion's body, checked.
+// ParsedChat is the validated body of a chat completion.
 type ParsedChat struct {
 	Model  string
 	Stream bool
@@ -50,7 +50,7 @@
 
 const defaultMaxTokens = 256
 
-// ParseChat checks a chat completion's body.
+// ParseChat parses and validates the body of a chat completion.
 func ParseChat(raw []byte) (*ParsedChat, error) {
 	p := &ParsedChat{}
 	if err := json.Unmarshal(raw, &p.Fields); err != nil {
@@ -72,7 +72,7 @@
 		return nil, errors.New("n: only 1 is served")
 	}
 	if b.MaxTokens == nil {
-		b.MaxTokens = b.MaxNew
+		b.MaxTokens = b.MaxCompletionTokens
 	}
 	if b.MaxTokens != nil && *b.MaxTokens < 1 {
 		return nil, errors.New("max_tokens: use 1 or more")
@@ -81,7 +81,7 @@
 	return p, nil
 }
 
-// MaxTokens returns the number of tokens asked for, within a service's limit.
+// MaxTokens returns the requested number of tokens, bounded by the service's limit.
 func (p *ParsedChat) MaxTokens(s *config.Service) int {
 	n := defaultMaxTokens
 	if p.Body.MaxTokens != nil {
@@ -90,7 +90,7 @@
 	return min(n, s.Limits.MaxTokens)
 }
 
-// DispatchChat returns what the dispatcher runs.
+// DispatchChat returns the chat request for the dispatcher.
 func (p *ParsedChat) DispatchChat(r *request.Request, s *config.Service) *dispatch.Chat {
 	texts := make([]string, len(p.Body.Messages))
 	roles := make([]string, len(p.Body.Messages))
@@ -118,8 +118,8 @@
 	return b, nil
 }
 
-// maxChatBody bounds a chat body before its service, whose own limit may be lower,
-// is known.
+// maxChatBody bounds the body of a chat request until its service is known, whose own limit may
+// be lower.
 const maxChatBody = 8 << 20
 
 func (s *Server) decodeChat(_ context.Context, r *http.Request) (any, error) {
@@ -160,7 +160,7 @@
 	if c.stream {
 		return s.streamFrom(r, 0), nil
 	}
-	return s.whole(r), nil
+	return s.completeResponse(r), nil
 }
 
 func (s *Server) acceptJob(ctx context.Context, r *request.Request) (any, error) {
@@ -197,8 +197,8 @@
 	return f
 }
 
-// whole waits for the end and answers in one piece.
-func (s *Server) whole(r *request.Request) response {
+// completeResponse waits for the end of the request and writes the response in one piece.
+func (s *Server) completeResponse(r *request.Request) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
 		defer r.Record().Join(s.o.Clock.Now)()
 		n := 0
@@ -206,7 +206,7 @@
 		for v.Outcome == stream.OutcomeOpen {
 			var err error
 			if v, err = r.Record().Wait(ctx, n); err != nil {
-				return nil // the caller has left
+				return nil // the caller has disconnected
 			}
 			n += len(v.Pieces)
 		}
@@ -235,11 +235,11 @@
 	}
 }
 
-// slowCaller is how long one write to a caller may take.
-const slowCaller = 10 * time.Second
+// callerWriteTimeout bounds the time of one write to a caller.
+const callerWriteTimeout = 10 * time.Second
 
-// streamFrom sends the answer as it grows, from an offset on. The header is sent
-// with the first token, so that a request that is refused gets a status of its own.
+// streamFrom streams the response from an offset on while it is generated. The header is sent
+// with the first token, so that a request that fails before gets an error status.
 func (s *Server) streamFrom(r *request.Request, from int) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
 		defer r.Record().Join(s.o.Clock.Now)()
@@ -257,10 +257,10 @@
 		h.Set(HeaderRequest, r.ID())
 		h.Set("Trailer", HeaderOutcome)
 		w.WriteHeader(http.StatusOK)
-		out := &events{w: w, c: http.NewResponseController(w), now: s.o.Clock.Wall, id: r.ID(), next: from}
+		out := &eventWriter{w: w, c: http.NewResponseController(w), now: s.o.Clock.Wall, id: r.ID(), next: from}
 		for {
 			if err := out.write(v.Pieces); err != nil {
-				return nil // a caller that is gone or too slow; it may come back by id
+				return nil // the caller has disconnected or is too slow; it can resume by id
 			}
 			if v.Outcome != stream.OutcomeOpen && len(v.Pieces) == 0 || v.Outcome != stream.OutcomeOpen && out.next == r.Record().Len() {
 				break
@@ -275,20 +275,20 @@
 	}
 }
 
-// events writes server-sent events; an event's id is request:offset.
-type events struct {
+// eventWriter writes server-sent events; the id of an event is request:offset.
+type eventWriter struct {
 	w    http.ResponseWriter
 	c    *http.ResponseController
-	now  func() time.Time // of the day: connections know no other
+	now  func() time.Time // wall-clock time, which write deadlines need
 	id   string
 	next int
 }
 
-func (e *events) write(pieces []string) error {
+func (e *eventWriter) write(pieces []string) error {
 	if len(pieces) == 0 {
 		return nil
 	}
-	_ = e.c.SetWriteDeadline(e.now().Add(slowCaller))
+	_ = e.c.SetWriteDeadline(e.now().Add(callerWriteTimeout))
 	for _, p := range pieces {
 		j, _ := json.Marshal(p)
 		_, err := fmt.Fprintf(e.w, "id: %s:%d\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%s}}]}\n\n", e.id, e.next, e.id, j)
@@ -300,7 +300,7 @@
 	return e.c.Flush()
 }
 
-func (e *events) end(v *stream.View) {
+func (e *eventWriter) end(v *stream.View) {
 	if v.Outcome == stream.OutcomeDone {
 		_, _ = fmt.Fprintf(e.w, "id: %s:%d\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", e.id, e.next, e.id)
 	} else {
@@ -315,8 +315,8 @@
 	from      int
 }
 
-// decodeResume reads the id, and the offset after the last event that the caller
-// has seen.
+// decodeResume reads the request's id, and the offset after the last event that the caller has
+// received.
 func (s *Server) decodeResume(_ context.Context, r *http.Request) (any, error) {
 	w, err := s.workspace(r)
 	if err != nil {
--- a/internal/ingress/chat_test.go
+++ b/internal/ingress/chat_test.go
@@ -6,8 +6,8 @@
 	"spurhall.example/spurhall/internal/config"
 )
 
-// FuzzParseChat: whatever a caller sends, a body that is taken has messages, each
-// with a role and content, and a number of tokens within the service's limit.
+// FuzzParseChat: whatever a caller sends, an accepted body has messages with roles, and a number
+// of tokens within the service's limit.
 func FuzzParseChat(f *testing.F) {
 	f.Add([]byte(`{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`))
 	f.Add([]byte(`{"max_tokens":-1,"messages":[{"role":"user","content":["x"]}]}`))
@@ -19,10 +19,10 @@
 			return
 		}
 		if len(p.Body.Messages) == 0 || p.Body.Messages[0].Role == "" {
-			t.Fatal("taken without a message")
+			t.Fatal("accepted without a message or its role")
 		}
 		if n := p.MaxTokens(s); n < 1 || n > 100 {
-			t.Fatalf("%d tokens", n)
+			t.Fatalf("MaxTokens returned %d, want 1 to 100", n)
 		}
 	})
 }
--- a/internal/ingress/plain.go
+++ b/internal/ingress/plain.go
@@ -15,8 +15,8 @@
 	"spurhall.example/spurhall/internal/stream"
 )
 
-// decodePlain reads a call of a plain service whole, so that a caller that breaks
-// off midway has run nothing.
+// decodePlain reads a call of a plain service completely, so that nothing is run if the caller
+// disconnects while it sends.
 func (s *Server) decodePlain(_ context.Context, r *http.Request) (any, error) {
 	w, err := s.workspace(r)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return c, nil
 }
 
-// caller names who asks, for the share that goes to a legacy address: the same
-// caller always gets the same side.
+// caller returns the caller's identity. It decides which calls go to a legacy address, so that all
+// calls of one caller go to the same side.
 func caller(r *http.Request) string {
 	if id := r.Header.Get(headerCaller); id != "" {
 		return id
@@ -56,7 +56,7 @@
 
 func (s *Server) plain(ctx context.Context, in any) (any, error) {
 	c := in.(*dispatch.Call)
-	if k := c.Header.Get(headerKey); k != "" && !*c.Rule.Repeatable {
+	if k := c.Header.Get(headerIdempotencyKey); k != "" && !*c.Rule.Repeatable {
 		c.Claim = func(ctx context.Context) (func(*dispatch.Answer), *dispatch.Answer) {
 			return s.claim(ctx, c, claim.HashKey(c.Workspace, c.Service.Name, k))
 		}
@@ -66,10 +66,10 @@
 		return nil, &Failure{Status: a.Status, Outcome: a.Outcome, Message: a.Failure, RetryAfter: a.RetryAfter, ID: c.ID}
 	}
 	Outcomes.Add(string(a.Outcome), 1)
-	return response(func(_ context.Context, w http.ResponseWriter) error { return writeAnswer(w, c.ID, a) }), nil
+	return response(func(_ context.Context, w http.ResponseWriter) error { return writeResponse(w, c.ID, a) }), nil
 }
 
-func writeAnswer(w http.ResponseWriter, id string, a *dispatch.Answer) error {
+func writeResponse(w http.ResponseWriter, id string, a *dispatch.Answer) error {
 	h := w.Header()
 	for k, v := range a.Header {
 		if k != "Connection" && k != "Transfer-Encoding" && k != "Keep-Alive" {
@@ -93,17 +93,18 @@
 	}
 	defer a.Rest.Close()
 	if _, err := io.Copy(w, a.Rest); err != nil {
-		panic(http.ErrAbortHandler) // a half answer must not look whole
+		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	return nil
 }
 
-// claim asks for the permission to run a keyed call.
+// claim asks for permission to run a call with an idempotency key. It returns either the function to
+// call with the result, or the response if the call must not be run.
 func (s *Server) claim(ctx context.Context, c *dispatch.Call, key uint64) (func(*dispatch.Answer), *dispatch.Answer) {
 	promises := c.Rule.Outage == config.OutagePromise
 	g := s.o.Claims.Claim(ctx, key, c.ID, time.Duration(c.Rule.KeyLifetime), promises)
 	if g.Granted {
-		return func(a *dispatch.Answer) { s.endClaim(c, a) }, nil
+		return func(a *dispatch.Answer) { s.finishClaim(c, a) }, nil
 	}
 	if g.Reason != claim.ReasonKnown {
 		return nil, &dispatch.Answer{Outcome: stream.OutcomeNotRun, Status: http.StatusServiceUnavailable, Failure: "not run: " + g.Reason.String(), RetryAfter: time.Second}
@@ -111,8 +112,8 @@
 	return nil, s.replay(ctx, key)
 }
 
-// replay answers a key that is claimed already: with the answer on record, or with
-// "unknown", and never by running it.
+// replay returns the response for a key that is already claimed: the recorded response, or the
+// outcome "unknown". It never runs the call.
 func (s *Server) replay(ctx context.Context, key uint64) *dispatch.Answer {
 	v, ok := s.o.Claims.Answer(ctx, key)
 	if ok && v.Outcome == string(stream.OutcomeDone) {
@@ -124,16 +125,16 @@
 	}
 }
 
-func (s *Server) endClaim(c *dispatch.Call, a *dispatch.Answer) {
+func (s *Server) finishClaim(c *dispatch.Call, a *dispatch.Answer) {
 	ran := a.Outcome != stream.OutcomeNotRun
 	var v *claim.Recorded
 	if a.Outcome == stream.OutcomeDone && a.Rest == nil {
-		v = &claim.Recorded{Attempt: c.ID, Outcome: string(a.Outcome), Status: a.Status, Header: kept(a.Header), Body: a.Body}
+		v = &claim.Recorded{Attempt: c.ID, Outcome: string(a.Outcome), Status: a.Status, Header: recordedHeaders(a.Header), Body: a.Body}
 	}
 	s.o.Claims.Finish(c.ID, ran, v)
 }
 
-func kept(h http.Header) map[string][]string {
+func recordedHeaders(h http.Header) map[string][]string {
 	r := make(map[string][]string)
 	for _, k := range []string{"Content-Type", "Content-Encoding", "Location"} {
 		if v := h.Values(k); len(v) > 0 {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,10 +1,10 @@
-// Package ingress is the callers' side: model requests as OpenAI-style chat
-// completions, plain services under /s/{service}/, jobs, and requests that are
-// taken up again at an offset.
+// Package ingress is the HTTP interface for callers: model requests as OpenAI-style
+// chat completions, plain services under /s/{service}/, jobs, and streams that are
+// resumed at an offset.
 //
-// Each path is a go-kit endpoint: a decoder that refuses what is malformed before
-// anything else sees it, the endpoint behind its middleware (ready, workspace), and
-// an encoder. Every answer bears a request id and Spurhall-Outcome.
+// Each path is a go-kit endpoint: a decoder that rejects malformed requests first, the
+// endpoint behind its middleware (ready, workspace), and an encoder. Every response has
+// a request id and Spurhall-Outcome.
 package ingress
 
 import (
@@ -33,21 +33,20 @@
 	"spurhall.example/spurhall/internal/timer"
 )
 
-// The headers of every answer.
+// The headers of requests and responses.
 const (
-	HeaderOutcome = "Spurhall-Outcome"
-	HeaderRequest = "X-Request-Id"
-	HeaderHeld    = "Spurhall-Held"
-	headerReplay  = "Idempotent-Replayed"
-	headerKey     = "Idempotency-Key"
-	headerCaller  = "X-Caller-Id"
+	HeaderOutcome        = "Spurhall-Outcome"
+	HeaderRequest        = "X-Request-Id"
+	HeaderHeld           = "Spurhall-Held"
+	headerReplay         = "Idempotent-Replayed"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerCaller         = "X-Caller-Id"
 )
 
-// Outcomes counts the final answers by outcome: each request accepted is in it
-// once.
+// Outcomes counts the final responses by outcome: each accepted request is counted once.
 var Outcomes = expvar.NewMap("request_outcomes")
 
-// Options sets a server. The functions are what the node does for it.
+// Options configures a Server. Its functions are provided by the node.
 type Options struct {
 	Node       string
 	Clock      *timer.Service
@@ -56,21 +55,21 @@
 	Registry   *request.Registry
 	Claims     *claim.Book
 	Ready      func() bool
-	// Start runs a request into its record.
+	// Start starts a request, whose output goes to its record.
 	Start func(r *request.Request)
-	// AcceptJob holds a job in two fault domains and says where.
+	// AcceptJob stores a job in two fault domains and returns their names.
 	AcceptJob func(ctx context.Context, r *request.Request) (string, error)
-	// Find looks for a request at the other nodes and in the journal. It returns nil
-	// if there is none.
+	// Find searches the other nodes and the journal for a request. It returns nil if there
+	// is none.
 	Find func(ctx context.Context, id, workspace string) *request.Request
 }
 
-// Server serves callers.
+// Server handles the requests of callers.
 type Server struct {
-	o      Options
-	serial atomic.Uint64
-	prefix string
-	open   atomic.Int64
+	o        Options
+	serial   atomic.Uint64
+	prefix   string
+	inFlight atomic.Int64
 }
 
 // New returns a server.
@@ -81,24 +80,24 @@
 }
 
 // InFlight returns the number of callers' requests in progress.
-func (s *Server) InFlight() int64 { return s.open.Load() }
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 func (s *Server) newID() string {
 	return s.prefix + strconv.FormatUint(s.serial.Add(1), 36)
 }
 
-// OwnerOf returns the node that gave a request its id.
+// OwnerOf returns the node that assigned a request's id.
 func OwnerOf(id string) string {
 	n, _, _ := strings.Cut(id, ".")
 	return n
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of all paths.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("POST /v1/chat/completions", s.endpoint(s.decodeChat, s.ready(s.chat)))
-	m.Handle("GET /v1/requests/{id}", s.endpoint(aboutAnother(s.decodeResume), s.resume))
-	m.Handle("GET /v1/jobs/{id}", s.endpoint(aboutAnother(s.decodeResume), s.jobStatus))
+	m.Handle("GET /v1/requests/{id}", s.endpoint(withoutOutcome(s.decodeResume), s.resume))
+	m.Handle("GET /v1/jobs/{id}", s.endpoint(withoutOutcome(s.decodeResume), s.jobStatus))
 	m.Handle("/s/{service}/", s.endpoint(s.decodePlain, s.ready(s.plain)))
 	m.HandleFunc("GET /readyz", s.readyz)
 	m.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintln(w, "ok") })
@@ -106,8 +105,8 @@
 		writeFailure(w, &Failure{Status: http.StatusNotFound, Outcome: stream.OutcomeNotRun, Message: "no such path; use /v1/chat/completions, /v1/requests/{id}, /v1/jobs/{id} or /s/{service}/"})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.open.Add(1)
-		defer s.open.Add(-1)
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
 		m.ServeHTTP(w, r)
 	})
 }
@@ -126,9 +125,9 @@
 	)
 }
 
-// aboutAnother takes the outcome out of the mistakes in a question about an earlier
-// request: "not-run" would be read as being about that one, which may well have run.
-func aboutAnother(next kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
+// withoutOutcome removes the outcome from the decoder's failures for queries about an earlier
+// request: "not-run" would be read as that request's outcome, although it may have run.
+func withoutOutcome(next kithttp.DecodeRequestFunc) kithttp.DecodeRequestFunc {
 	return func(ctx context.Context, r *http.Request) (any, error) {
 		v, err := next(ctx, r)
 		var f *Failure
@@ -139,7 +138,7 @@
 	}
 }
 
-// ready refuses new work on a node that is starting or leaving.
+// ready rejects new requests on a node that is starting or leaving.
 func (s *Server) ready(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, in any) (any, error) {
 		if !s.o.Ready() {
@@ -149,7 +148,7 @@
 	}
 }
 
-// Failure is an answer that isn't the upstream's.
+// Failure is an error response that this node generates, as opposed to an upstream's response.
 type Failure struct {
 	Status     int
 	Outcome    stream.Outcome
@@ -211,7 +210,7 @@
 	_, _ = w.Write(append(errorJSON(f.Message, f.Status, f.Outcome), '\n'))
 }
 
-// workspace finds the workspace by its API key.
+// workspace returns the workspace of the request's API key.
 func (s *Server) workspace(r *http.Request) (*config.Rendered, error) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
@@ -227,7 +226,7 @@
 	return nil, &Failure{Status: http.StatusUnauthorized, Outcome: stream.OutcomeNotRun, Message: "no workspace has this API key"}
 }
 
-// response is what an endpoint gives to the encoder: a function that writes it.
+// response is an endpoint's result: a function by which the encoder writes it.
 type response func(ctx context.Context, w http.ResponseWriter) error
 
 func (s *Server) encode(ctx context.Context, w http.ResponseWriter, v any) error {
