--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -65,8 +65,8 @@
 	return r
 }
 
-// TestWithEra checks which calls reach a store that was restored from an older copy, and their results.
-func TestWithEra(t *testing.T) {
+// TestDated checks which calls reach a store that was restored from an older copy, and their results.
+func TestDated(t *testing.T) {
 	ctx := context.Background()
 	t.Run("a store without eras is unchanged", func(t *testing.T) {
 		_, kv := newEraStub(0)
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -35,7 +35,7 @@
 	return end
 }
 
-func TestFailedCallEndsWatches(t *testing.T) {
+func TestGuardDoubtsWatches(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestFailedWatchEndsOtherWatches: a store that loses its history may never respond to the waiting
+// TestGuardDoubtsTheOtherWatches: a store that loses its history may never respond to the waiting
 // watches, so the first watch that fails must end the others.
-func TestFailedWatchEndsOtherWatches(t *testing.T) {
+func TestGuardDoubtsTheOtherWatches(t *testing.T) {
 	kv := stubKV(new(error))
 	waits, started := kv.Watch, make(chan struct{})
 	fail := make(chan struct{})
@@ -102,9 +102,9 @@
 	assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 }
 
-// TestCallbackErrorIsNoStoreFailure: an error of a watch's callback doesn't count as a failure of the
+// TestWatcherThatHasSeenEnough: an error of a watch's callback doesn't count as a failure of the
 // store.
-func TestCallbackErrorIsNoStoreFailure(t *testing.T) {
+func TestWatcherThatHasSeenEnough(t *testing.T) {
 	kv := stubKV(new(error))
 	waits, started := kv.Watch, make(chan struct{})
 	kv.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
--- a/internal/upstream/abort_test.go
+++ b/internal/upstream/abort_test.go
@@ -39,8 +39,8 @@
 	return l
 }
 
-// TestAbortedRequestIsNotDelivered: bytes of an aborted request that the kernel has buffered are not sent.
-func TestAbortedRequestIsNotDelivered(t *testing.T) {
+// TestAbandonedRequestsGoNoFurther: bytes of an aborted request that the kernel has buffered are not sent.
+func TestAbandonedRequestsGoNoFurther(t *testing.T) {
 	l := slowListener(t)
 	body := bytes.Repeat([]byte("x"), 512<<10)
 	client := NewClient(timer.Real(), Options{ConnectTimeout: time.Second})
--- a/internal/upstream/cooldown_test.go
+++ b/internal/upstream/cooldown_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCooldown(t *testing.T) {
+func TestRest(t *testing.T) {
 	read := func(status int, h ...string) time.Duration {
 		a := &http.Response{StatusCode: status, Header: http.Header{}}
 		for i := 0; i+1 < len(h); i += 2 {
