--- a/internal/dispatch/tries_test.go
+++ b/internal/dispatch/tries_test.go
@@ -15,7 +15,7 @@
 func looks(err error, id func(i int) string) int {
 	t := newTries()
 	for i := range 500 {
-		if t.bound.Next() == retry.SearchOver || t.bound.Reached() >= maxAttempts {
+		if t.bound.Next() == retry.ScopeNone || t.bound.Reached() >= maxAttempts {
 			return i
 		}
 		t.note(id(i), err, 100*time.Microsecond)
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -261,7 +261,7 @@
 // void takes in keys whose values can't be read.
 func (n *Node) void(l *pool.List, bad []store.Pair) {
 	for _, p := range bad {
-		l.Void(p.Modified, n.entryID(p.Key))
+		l.MarkUnreadable(p.Modified, n.entryID(p.Key))
 	}
 }
 
@@ -303,9 +303,9 @@
 
 // update changes the list, and tells what became of it.
 func (n *Node) update(source string, f func(now time.Time, l *pool.List)) {
-	before := n.pools.Change()
+	before := n.pools.LastChange()
 	changes := n.pools.Update(func(l *pool.List) { f(n.clock.Now(), l) })
-	if len(changes) > 0 || n.pools.Change() != before {
+	if len(changes) > 0 || n.pools.LastChange() != before {
 		n.news.announceList()
 	}
 	for _, c := range changes {
--- a/internal/ingress/chat.go
+++ b/internal/ingress/chat.go
@@ -31,7 +31,7 @@
 }
 
 type chatRequest struct {
-	workspace *config.Rendered
+	workspace *config.RenderedWorkspace
 	service   *config.Service
 	raw       []byte
 	chat      *ParsedChat
@@ -102,7 +102,7 @@
 	prompt.Batch = s.Class == config.ClassBatch
 	return &dispatch.Chat{
 		Record: r.Record(), Workspace: r.Workspace(), Service: s, Body: p.Fields, MaxTokens: n,
-		Prompt: prompt, Patient: r.Job(),
+		Prompt: prompt, RetryUntilDeadline: r.Job(),
 	}
 }
 
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, badRequest("%v", err)
 	}
-	v := w.Chat(p.Model)
+	v := w.ChatService(p.Model)
 	if v == nil {
 		return nil, badRequest("model %q: this workspace has no chat service of that name", p.Model)
 	}
@@ -150,7 +150,7 @@
 	c := in.(*chatRequest)
 	r := request.New(request.Spec{
 		ID: s.newID(), Workspace: c.workspace.Name(), Service: c.service.Name, Body: c.raw, Job: c.job,
-		Accepted: s.o.Clock.Now(), Owner: s.o.Node,
+		AcceptedAt: s.o.Clock.Now(), Owner: s.o.Node,
 	})
 	if c.job {
 		return s.acceptJob(ctx, r)
@@ -190,7 +190,7 @@
 }
 
 func failureOf(id string, v *stream.View) *Failure {
-	f := &Failure{Status: http.StatusBadGateway, Outcome: v.Outcome, Message: v.Failure, RetryAfter: v.After, ID: id}
+	f := &Failure{Status: http.StatusBadGateway, Outcome: v.Outcome, Message: v.Failure, RetryAfter: v.RetryAfter, ID: id}
 	if v.Outcome == stream.OutcomeNotRun {
 		f.Status = http.StatusServiceUnavailable
 	}
@@ -200,7 +200,7 @@
 // completeResponse waits for the end of the request and writes the response in one piece.
 func (s *Server) completeResponse(r *request.Request) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
-		defer r.Record().Join(s.o.Clock.Now)()
+		defer r.Record().AddReader(s.o.Clock.Now)()
 		n := 0
 		var v stream.View
 		for v.Outcome == stream.OutcomeOpen {
@@ -208,7 +208,7 @@
 			if v, err = r.Record().Wait(ctx, n); err != nil {
 				return nil // the caller has disconnected
 			}
-			n += len(v.Pieces)
+			n += len(v.Tokens)
 		}
 		if v.Outcome != stream.OutcomeDone {
 			writeFailure(w, failureOf(r.ID(), &v))
@@ -223,7 +223,7 @@
 func completion(r *request.Request) map[string]any {
 	u, n := r.Record().Usage(), r.Record().Len()
 	return map[string]any{
-		"id": "chatcmpl-" + r.ID(), "object": "chat.completion", "created": r.Accepted().Unix(), "model": r.Service(),
+		"id": "chatcmpl-" + r.ID(), "object": "chat.completion", "created": r.AcceptedAt().Unix(), "model": r.Service(),
 		"choices": []any{map[string]any{
 			"index": 0, "finish_reason": "stop",
 			"message": map[string]string{"role": "assistant", "content": r.Record().Text()},
@@ -242,12 +242,12 @@
 // with the first token, so that a request that fails before gets an error status.
 func (s *Server) streamFrom(r *request.Request, from int) response {
 	return func(ctx context.Context, w http.ResponseWriter) error {
-		defer r.Record().Join(s.o.Clock.Now)()
+		defer r.Record().AddReader(s.o.Clock.Now)()
 		v, err := r.Record().Wait(ctx, from)
 		if err != nil {
 			return nil
 		}
-		if v.Outcome != stream.OutcomeOpen && v.Outcome != stream.OutcomeDone && len(v.Pieces) == 0 {
+		if v.Outcome != stream.OutcomeOpen && v.Outcome != stream.OutcomeDone && len(v.Tokens) == 0 {
 			writeFailure(w, failureOf(r.ID(), &v))
 			return nil
 		}
@@ -259,10 +259,10 @@
 		w.WriteHeader(http.StatusOK)
 		out := &eventWriter{w: w, c: http.NewResponseController(w), now: s.o.Clock.Wall, id: r.ID(), next: from}
 		for {
-			if err := out.write(v.Pieces); err != nil {
+			if err := out.write(v.Tokens); err != nil {
 				return nil // the caller has disconnected or is too slow; it can resume by id
 			}
-			if v.Outcome != stream.OutcomeOpen && len(v.Pieces) == 0 || v.Outcome != stream.OutcomeOpen && out.next == r.Record().Len() {
+			if v.Outcome != stream.OutcomeOpen && len(v.Tokens) == 0 || v.Outcome != stream.OutcomeOpen && out.next == r.Record().Len() {
 				break
 			}
 			if v, err = r.Record().Wait(ctx, out.next); err != nil {
@@ -373,7 +373,7 @@
 		w.Header().Set(HeaderRequest, r.ID())
 		switch v.Outcome {
 		case stream.OutcomeOpen:
-			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "running", "tokens": len(v.Pieces)})
+			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "running", "tokens": len(v.Tokens)})
 		case stream.OutcomeDone:
 			w.Header().Set(HeaderOutcome, string(v.Outcome))
 			return writeJSON(w, http.StatusOK, map[string]any{"id": r.ID(), "status": "done", "result": completion(r)})
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -53,7 +53,7 @@
 	View       *config.View
 	Dispatcher *dispatch.Dispatcher
 	Registry   *request.Registry
-	Claims     *claim.Book
+	Claims     *claim.Manager
 	Ready      func() bool
 	// Start starts a request, whose output goes to its record.
 	Start func(r *request.Request)
@@ -211,12 +211,12 @@
 }
 
 // workspace returns the workspace of the request's API key.
-func (s *Server) workspace(r *http.Request) (*config.Rendered, error) {
+func (s *Server) workspace(r *http.Request) (*config.RenderedWorkspace, error) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
 		return nil, &Failure{Status: http.StatusUnauthorized, Outcome: stream.OutcomeNotRun, Message: "send the workspace's API key as Authorization: Bearer KEY"}
 	}
-	w := s.o.View.Workspace(k)
+	w := s.o.View.WorkspaceByKey(k)
 	if w != nil {
 		return w, nil
 	}
--- a/internal/store/era.go
+++ b/internal/store/era.go
@@ -24,14 +24,14 @@
 // eraStore wraps a store and adds the era of its clock to revisions.
 type eraStore struct {
 	kv        KV
-	clock     *era.Clock
+	clock     *era.Tracker
 	mu        sync.Mutex
 	leaseEras map[int64]int64 // eras of the leases that were granted through this eraStore, by lease
 }
 
 // WithEra returns a store whose revisions include their era. The clock must observe the era of each
 // response of kv before kv returns the response.
-func WithEra(kv KV, clock *era.Clock) KV {
+func WithEra(kv KV, clock *era.Tracker) KV {
 	d := &eraStore{kv: kv, clock: clock, leaseEras: make(map[int64]int64)}
 	r := KV{Range: d.read, Txn: d.txn, Grant: d.grant, KeepAlive: d.keepAlive, Revoke: d.revoke, Watch: d.watch}
 	if kv.StaleRange != nil {
@@ -52,21 +52,21 @@
 }
 
 func (d *eraStore) readWithEra(f func() (RangeResult, error)) (RangeResult, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	r, err := f()
 	if err != nil {
 		return r, err
 	}
 	if now == 0 { // the era is known from the first response on
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return RangeResult{}, errEraRose
 	}
 	if err := d.addEra(now, &r.Revision); err != nil {
 		return RangeResult{}, err
 	}
-	d.clock.See(r.Revision)
+	d.clock.ObserveRevision(r.Revision)
 	for i := range r.Pairs {
 		if err := d.addEra(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
 			return RangeResult{}, err
@@ -88,12 +88,12 @@
 }
 
 func (d *eraStore) txn(ctx context.Context, t Txn) (TxnResult, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	raw := t
 	raw.If = make([]Compare, len(t.If))
 	for i, c := range t.If {
 		if c.Target != CompareVersion {
-			n, ok := era.Within(now, c.Number)
+			n, ok := era.NumberIn(now, c.Number)
 			if !ok {
 				return TxnResult{}, nil
 			}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return r, err
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return TxnResult{}, fault.Because(ErrUnknown, "the store came back from a copy meanwhile")
 	}
 	if r.Succeeded {
@@ -120,15 +120,15 @@
 }
 
 func (d *eraStore) grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	id, err := d.kv.Grant(ctx, ttl)
 	if err != nil {
 		return 0, err
 	}
 	if now == 0 {
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return 0, errEraRose // if the lease exists, it expires
 	}
 	d.mu.Lock()
@@ -138,13 +138,13 @@
 }
 
 func (d *eraStore) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
-	now := d.clock.Now()
+	now := d.clock.Current()
 	if !d.leaseInEra(now, id) {
 		d.forget(id)
 		return 0, ErrLeaseGone
 	}
 	left, err := d.kv.KeepAlive(ctx, id)
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		err = ErrLeaseGone
 	}
 	if errors.Is(err, ErrLeaseGone) {
@@ -154,7 +154,7 @@
 }
 
 func (d *eraStore) revoke(ctx context.Context, id int64) error {
-	here := d.leaseInEra(d.clock.Now(), id)
+	here := d.leaseInEra(d.clock.Current(), id)
 	d.forget(id)
 	if !here {
 		return nil
@@ -178,20 +178,20 @@
 }
 
 func (d *eraStore) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
-	now := d.clock.Now()
-	n, ok := era.Within(now, s.From)
+	now := d.clock.Current()
+	n, ok := era.NumberIn(now, s.From)
 	if !ok {
 		return ErrCompacted
 	}
 	s.From = n
 	return d.kv.Watch(ctx, s, func(b WatchBatch) error {
-		if d.clock.Now() != now {
+		if d.clock.Current() != now {
 			return ErrCompacted
 		}
 		if err := d.addEra(now, &b.Revision); err != nil {
 			return err
 		}
-		d.clock.See(b.Revision)
+		d.clock.ObserveRevision(b.Revision)
 		for i := range b.Events {
 			if err := d.addEra(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
 				return err
--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -13,7 +13,7 @@
 
 // eraStub is a store whose responses belong to an era. It counts the calls that reach it.
 type eraStub struct {
-	clock *era.Clock
+	clock *era.Tracker
 	now   int64
 	calls int
 	rises bool // the era rises during the next call
@@ -22,16 +22,16 @@
 
 func (v *eraStub) respond() {
 	v.calls++
-	_ = v.clock.Hear(v.now) // never falls here
+	_ = v.clock.Observe(v.now) // never falls here
 	if v.rises {
 		v.rises = false
 		v.now++
-		_ = v.clock.Hear(v.now)
+		_ = v.clock.Observe(v.now)
 	}
 }
 
 func newEraStub(now int64) (*eraStub, KV) {
-	v := &eraStub{clock: era.NewClock(), now: now}
+	v := &eraStub{clock: era.NewTracker(), now: now}
 	kv := KV{
 		Range: func(context.Context, string, string) (RangeResult, error) {
 			v.respond()
@@ -103,7 +103,7 @@
 		v, kv := newEraStub(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		v.now = 3
 		_, err = kv.Txn(ctx, Txn{Then: []Op{{Kind: OpPut, Key: "k", Lease: id}}})
 		assert.ErrorIs(t, err, ErrLeaseGone)
@@ -115,20 +115,20 @@
 		v, kv := newEraStub(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		assert.NoError(t, kv.Revoke(ctx, id))
 		assert.Equal(t, 1, v.calls)
 	})
 	t.Run("a watch doesn't resume from another era", func(t *testing.T) {
 		v, kv := newEraStub(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Zero(t, v.calls)
 	})
 	t.Run("a watch ends when the era rises", func(t *testing.T) {
 		v, kv := newEraStub(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		var got []int64
 		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
@@ -136,7 +136,7 @@
 	})
 	t.Run("the response of a call during which the era rises counts as lost", func(t *testing.T) {
 		v, kv := newEraStub(2)
-		require.NoError(t, v.clock.Hear(2))
+		require.NoError(t, v.clock.Observe(2))
 		v.rises = true
 		_, err := kv.Range(ctx, "k", "")
 		assert.ErrorIs(t, err, ErrUnavailable)
