--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -28,5 +28,5 @@
 	t.Run("repeated attempts at one unreachable address end it", func(t *testing.T) {
 		assert.LessOrEqual(t, countAttempts(upstream.ErrNotSent, func(int) string { return "legacy" }), maxAttempts+1)
 	})
-	t.Run("the number of upstreams reached stays bounded", func(t *testing.T) { assert.Equal(t, maxAttempts, countAttempts(upstream.ErrLost, strconv.Itoa)) })
+	t.Run("the number of upstreams reached stays bounded", func(t *testing.T) { assert.Equal(t, maxAttempts, countAttempts(upstream.ErrMayHaveRun, strconv.Itoa)) })
 }
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -174,7 +174,7 @@
 			return finalResponse(l.giveUp(), err)
 		}
 		again := p.mayRetry(tried, retry.Attempt{
-			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
+			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRejected),
 			TimeLeft: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
@@ -217,14 +217,14 @@
 	}
 	if c.Service.IsRejection(s.StatusCode) {
 		_ = s.Body.Close()
-		err := upstream.Refused(s, "")
+		err := upstream.Rejected(s, "")
 		p.recordOutcome(t.fact.ID, err, false)
 		return nil, err
 	}
 	if id := s.Header.Get("X-Request-Id"); id != "" && id != c.ID {
 		_ = s.Body.Close()
-		p.recordOutcome(t.fact.ID, upstream.ErrForeign, true)
-		return nil, upstream.ErrForeign
+		p.recordOutcome(t.fact.ID, upstream.ErrRequestMismatch, true)
+		return nil, upstream.ErrRequestMismatch
 	}
 	a, err := readResponse(s)
 	p.recordOutcome(t.fact.ID, err, ctx.Err() == nil)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -378,7 +378,7 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.cooldowns.Start(p.d.o.Clock.Now(), retry.Incarnation{ID: id}, d) {
+	if d := upstream.CooldownOf(err); d > 0 && p.cooldowns.Start(p.d.o.Clock.Now(), retry.Incarnation{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -32,7 +32,7 @@
 
 // attemptFailed records how an attempt failed.
 func (v *progress) attemptFailed(err error) {
-	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused) {
+	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRejected) {
 		v.fire("refused")
 		return
 	}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -79,7 +79,7 @@
 	if v, ok := d.o.Table.Get(f.ID); !ok || v.Status != member.StatusLive {
 		return
 	}
-	if !d.o.Client.Refuses(ctx, f.Address) || !d.o.HallReachable(ctx, f.Hall) {
+	if !d.o.Client.RefusesConnections(ctx, f.Address) || !d.o.HallReachable(ctx, f.Hall) {
 		return
 	}
 	now := d.o.Clock.Now()
@@ -127,5 +127,5 @@
 	if upstream.Severed(err) {
 		return upstream.ErrSevered
 	}
-	return upstream.ErrLost
+	return upstream.ErrMayHaveRun
 }
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -123,7 +123,7 @@
 		}
 	}
 	n.clock.Every(ctx, registryReadInterval, func(time.Time) {
-		if err := n.readRegistry(ctx, n.kv.Glance); err != nil {
+		if err := n.readRegistry(ctx, n.kv.StaleRange); err != nil {
 			n.log.Debug("registry_unread", zap.String("cause", err.Error()))
 		}
 	})
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -159,7 +159,7 @@
 	n.guard = store.NewGuard(o.Clock, n.storeShare())
 	n.era = o.Era
 	n.era.OnRise(n.onEraRise)
-	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
+	n.kv = n.guard.Wrap(store.WithEra(o.KV, o.Era))
 	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.LeaseTTL, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
 		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Connections: n.lines, Ready: n.initialized, Catalog: n.currentCatalog,
@@ -172,7 +172,7 @@
 // storeShare returns this node's part of the store's call rates.
 func (n *Node) storeShare() store.GuardOptions {
 	k := float64(n.peers.size())
-	return store.GuardOptions{Reads: n.settings.Store.Reads / k, Writes: n.settings.Store.Writes / k, Backoff: storeBackoff}
+	return store.GuardOptions{Reads: n.settings.Store.Reads / k, Writes: n.settings.Store.Writes / k, MaxBackoff: storeBackoff}
 }
 
 func (n *Node) currentCatalog() *catalog.Catalog {
--- a/internal/edge/watch.go
+++ b/internal/edge/watch.go
@@ -81,7 +81,7 @@
 // disappear right after an outage are kept for a while, as they may have lapsed in it, so a restart must not
 // count as an outage.
 func isWatchRestart(err error) bool {
-	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrDoubted) || errors.Is(err, errBehind)
+	return errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrWatchUntrusted) || errors.Is(err, errBehind)
 }
 
 func (f *follower) markLost(err error) {
@@ -126,7 +126,7 @@
 	c, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	f.setCancel(stop)
-	span := store.Under(f.prefix, r.Revision+1)
+	span := store.PrefixSpan(f.prefix, r.Revision+1)
 	span.Wait = f.watchWait
 	err = f.n.kv.Watch(c, span, func(b store.WatchBatch) error {
 		f.markRegained()
--- a/internal/forward/connections.go
+++ b/internal/forward/connections.go
@@ -41,7 +41,7 @@
 
 func (l *Connections) newClient(idle time.Duration) *idleClient {
 	return &idleClient{idleLimit: idle, client: upstream.NewClient(l.clock, upstream.Options{
-		ConnectTimeout: connectTimeout, IdlePerHost: idlePerUpstream, IdleTimeout: idle, Silence: silenceLimit,
+		ConnectTimeout: connectTimeout, IdlePerHost: idlePerUpstream, IdleTimeout: idle, AckTimeout: silenceLimit,
 	})}
 }
 
--- a/internal/forward/severed.go
+++ b/internal/forward/severed.go
@@ -91,7 +91,7 @@
 // ones to several upstreams in a row. Each check takes a round trip, or a time-out during a partition, so
 // only a request that already has a crash on record waits for them before its next attempt.
 func (s *Server) recordCrash(ctx context.Context, e quarantine.Crash, u pool.Entry) {
-	if !s.o.Connections.get(u).Refuses(ctx, u.Address) || !s.o.HallReachable(ctx, u.Hall) {
+	if !s.o.Connections.get(u).RefusesConnections(ctx, u.Address) || !s.o.HallReachable(ctx, u.Hall) {
 		return
 	}
 	s.o.Log.Info("upstream_ended", zap.String("upstream", e.Upstream), zap.Stringer("print", e.Fingerprint))
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -115,7 +115,7 @@
 
 // awaitFree watches the key until it is deleted, and returns the pause before the next attempt.
 func (l *Lease) awaitFree(ctx context.Context) time.Duration {
-	span := store.Under(l.key, l.seenRevision+1)
+	span := store.PrefixSpan(l.key, l.seenRevision+1)
 	span.Wait = watchTimeout
 	err := l.kv.Watch(ctx, span, func(b store.WatchBatch) error {
 		for _, e := range b.Events {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -331,7 +331,7 @@
 	if n.ingress == nil {
 		return 0
 	}
-	return n.ingress.Open()
+	return n.ingress.InFlight()
 }
 
 // onFact handles a change of a VM's status and propagates it to the peers at once.
