--- a/cmd/spurhall-soak/main.go
+++ b/cmd/spurhall-soak/main.go
@@ -212,7 +212,7 @@
 		Name: "platform", Usage: "the platform's store and cloud, as a process of a day",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "host"}, &cli.IntFlag{Name: "first"}, &cli.IntFlag{Name: "faces"}, &cli.StringFlag{Name: "control"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return platformtest.ServeFaces(ctx, timer.Real(), c.String("host"), c.Int("first"), c.Int("faces"), c.String("control"))
+			return platformtest.ServeEndpoints(ctx, timer.Real(), c.String("host"), c.Int("first"), c.Int("faces"), c.String("control"))
 		},
 	}
 }
@@ -227,7 +227,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return platformtest.RunWorker(ctx, timer.Real(), platformtest.WorkerOptions{
 				ID: c.String("id"), Service: c.String("service"), Hall: c.String("hall"), Listen: c.String("listen"), Advertise: c.String("advertise"),
-				Control: c.String("control"), Journal: c.String("journal"), Beat: c.Duration("beat"), Leaves: c.Duration("leaves"),
+				Control: c.String("control"), Journal: c.String("journal"), HeartbeatInterval: c.Duration("beat"), DrainTime: c.Duration("leaves"),
 			})
 		},
 	}
