--- a/cmd/spurhalld/edge.go
+++ b/cmd/spurhalld/edge.go
@@ -70,13 +70,13 @@
 		return err
 	}
 	lifetime := strconv.FormatUint(rand.Uint64(), 36)
-	eras := era.NewClock()
+	eras := era.NewTracker()
 	n := edge.New(edge.Options{
-		Settings: s, Lifetime: lifetime, Clock: clock, Log: log,
-		KV: platform.NewStore(s.Store.Address, eras.Hear), Era: eras, Cloud: platform.NewCloud(s.Cloud.Address, s.Node), Dialect: platform.Dialect(),
+		Settings: s, Incarnation: lifetime, Clock: clock, Log: log,
+		KV: platform.NewStore(s.Store.Address, eras.Observe), Era: eras, Cloud: platform.NewCloud(s.Cloud.Address, s.Node), Dialect: platform.Dialect(),
 		CatalogKey: platform.ConfigKey, EntryPrefix: platform.EntryPrefix,
 		OperatorPrefix: platform.OperatorPrefix, OrderPrefix: platform.OrderPrefix, DecodeOrder: platform.DecodeOrder, EncodeStatus: platform.EncodeStatus,
-		DecodeCatalog: platform.DecodeCatalog, DecodeEntry: platform.DecodeEntry, Cached: platform.Cached,
+		DecodeCatalog: platform.DecodeCatalog, DecodeEntry: platform.DecodeEntry, FetchCachedParts: platform.FetchCachedParts,
 	})
 	log.Info("started", zap.String("lifetime", lifetime), zap.String("hall", s.Hall), zap.String("front", s.Front), zap.String("peers", s.Peers),
 		zap.Bool("first_start", s.FirstStart))
--- a/cmd/spurhalld/main.go
+++ b/cmd/spurhalld/main.go
@@ -71,12 +71,12 @@
 
 func read(c *cli.Command) *settings.Settings {
 	return &settings.Settings{
-		VM: c.String("vm"), Hall: c.String("hall"), Zone: c.String("zone"), Callers: c.String("listen"),
-		Peers: c.String("peer-listen"), Admin: c.String("admin-listen"), Seeds: c.StringSlice("seed"),
-		Platform: c.String("platform"), PlatformRate: c.Float("platform-rate"), Policy: c.String("route-policy"),
-		CrossHall: c.Duration("cross-hall"), Exchange: c.Duration("exchange"), Drain: c.Duration("drain"),
-		LogLevel: c.String("log-level"), AdminTokens: c.StringSlice("admin-token-hash"),
-		Cert: c.String("tls-cert"), Key: c.String("tls-key"), CA: c.String("tls-ca"), Autoscale: c.Bool("autoscale"), Insecure: c.Bool("insecure"),
+		VM: c.String("vm"), Hall: c.String("hall"), Zone: c.String("zone"), CallerListen: c.String("listen"),
+		PeerListen: c.String("peer-listen"), AdminListen: c.String("admin-listen"), Seeds: c.StringSlice("seed"),
+		PlatformURL: c.String("platform"), PlatformRate: c.Float("platform-rate"), RoutePolicy: c.String("route-policy"),
+		CrossHallLatency: c.Duration("cross-hall"), ExchangeInterval: c.Duration("exchange"), DrainTimeout: c.Duration("drain"),
+		LogLevel: c.String("log-level"), AdminTokenHashes: c.StringSlice("admin-token-hash"),
+		CertFile: c.String("tls-cert"), KeyFile: c.String("tls-key"), CAFile: c.String("tls-ca"), Autoscale: c.Bool("autoscale"), Insecure: c.Bool("insecure"),
 	}
 }
 
@@ -89,24 +89,24 @@
 }
 
 func secure(s *settings.Settings, clock *timer.Service) (security, error) {
-	if s.Cert == "" {
+	if s.CertFile == "" {
 		return security{scheme: "http"}, nil
 	}
-	c, err := settings.NewCertificates(s.Cert, s.Key, clock)
+	c, err := settings.NewCertificates(s.CertFile, s.KeyFile, clock)
 	if err != nil {
 		return security{}, fmt.Errorf("--tls-cert: %w", err)
 	}
-	v := security{scheme: "https", callers: c.Server(nil, false), peers: c.Server(nil, false)}
-	if s.CA == "" {
-		v.transport = &http.Transport{TLSClientConfig: c.Client(nil), MaxIdleConnsPerHost: 8}
+	v := security{scheme: "https", callers: c.ServerConfig(nil, false), peers: c.ServerConfig(nil, false)}
+	if s.CAFile == "" {
+		v.transport = &http.Transport{TLSClientConfig: c.ClientConfig(nil), MaxIdleConnsPerHost: 8}
 		return v, nil
 	}
-	ca, err := settings.ReadCA(s.CA)
+	ca, err := settings.ReadCA(s.CAFile)
 	if err != nil {
 		return security{}, fmt.Errorf("--tls-ca: %w", err)
 	}
-	v.peers = c.Server(ca, true)
-	v.transport = &http.Transport{TLSClientConfig: c.Client(ca), MaxIdleConnsPerHost: 8}
+	v.peers = c.ServerConfig(ca, true)
+	v.transport = &http.Transport{TLSClientConfig: c.ClientConfig(ca), MaxIdleConnsPerHost: 8}
 	return v, nil
 }
 
@@ -126,9 +126,9 @@
 		return err
 	}
 	n := node.New(node.Options{
-		VM: s.VM, Hall: s.Hall, Zone: s.Zone, PeerAddress: s.Peers, Seeds: s.Seeds, Clock: clock, Log: log,
-		KV: store.NewGateway(s.Platform, platformTimeout, clock).KV(), Cloud: store.NewCloud(s.Platform, platformTimeout),
-		PlatformRate: s.PlatformRate, Policy: route.Policy(s.Policy), CrossHall: s.CrossHall, Exchange: s.Exchange,
+		VM: s.VM, Hall: s.Hall, Zone: s.Zone, PeerAddress: s.PeerListen, Seeds: s.Seeds, Clock: clock, Log: log,
+		KV: store.NewGateway(s.PlatformURL, platformTimeout, clock).KV(), Cloud: store.NewCloud(s.PlatformURL, platformTimeout),
+		PlatformRate: s.PlatformRate, Policy: route.Policy(s.RoutePolicy), CrossHallLatency: s.CrossHallLatency, ExchangeInterval: s.ExchangeInterval,
 		PeerTransport: sec.transport, PeerScheme: sec.scheme, Autoscale: s.Autoscale,
 	})
 	stop := make(chan os.Signal, 2)
@@ -149,9 +149,9 @@
 		tls     *tls.Config
 		handler http.Handler
 	}{
-		{s.Peers, sec.peers, n.Peers()},
-		{s.Callers, sec.callers, n.Callers()},
-		{s.Admin, sec.callers, admin.Handler(admin.Options{Node: n, TokenHashes: s.AdminTokens, Drain: drain})},
+		{s.PeerListen, sec.peers, n.PeerHandler()},
+		{s.CallerListen, sec.callers, n.CallerHandler()},
+		{s.AdminListen, sec.callers, admin.Handler(admin.Options{Node: n, TokenHashes: s.AdminTokenHashes, Drain: drain})},
 	}
 	var open []*http.Server
 	for _, v := range servers {
@@ -165,7 +165,7 @@
 	}
 	n.Start()
 	<-stop
-	x, cancel := context.WithTimeout(context.Background(), s.Drain)
+	x, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
 	defer cancel()
 	go func() {
 		<-stop // the second signal
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -24,18 +24,18 @@
 const (
 	// Keeps is how long a node stays unready after its callers' listener failed. net/http
 	// tries again after a second at most; a listener that nobody calls meanwhile shows nothing.
-	Keeps = 2 * time.Second
+	FailureHold = 2 * time.Second
 	// ownDescriptors is what the platform keeps for itself of a process's descriptors, and what
 	// a node needs for listeners, other nodes and the store.
-	ownDescriptors = 200 + 200
+	reservedDescriptors = 200 + 200
 	// callersShare is the part of the other descriptors that callers' connections may take: a
 	// request that is sent on needs one to an upstream, too, and some of these are idle.
 	callersShare = 0.45
 )
 
 // mostCallers is how many connections of callers a process may have; 0: as many as come.
-func mostCallers(descriptors int) int64 {
-	return int64(callersShare * float64(max(0, descriptors-ownDescriptors)))
+func maxCallers(descriptors int) int64 {
+	return int64(callersShare * float64(max(0, descriptors-reservedDescriptors)))
 }
 
 // Listener notes when it failed to take a connection, and closes those that are too many
@@ -44,15 +44,15 @@
 	net.Listener
 	clock  *timer.Service
 	log    *zap.Logger
-	most   int64 // connections; 0: any number
+	maxOpen   int64 // connections; 0: any number
 	open   atomic.Int64
-	failed atomic.Int64 // nanoseconds of the clock; 0: it never did
+	failedAt atomic.Int64 // nanoseconds of the clock; 0: it never did
 	closed atomic.Bool
 }
 
 // New returns a listener of a process that has so many descriptors; 0: any number.
 func New(l net.Listener, clock *timer.Service, log *zap.Logger, descriptors int) *Listener {
-	return &Listener{Listener: l, clock: clock, log: log, most: mostCallers(descriptors)}
+	return &Listener{Listener: l, clock: clock, log: log, maxOpen: maxCallers(descriptors)}
 }
 
 // Accept takes a connection.
@@ -64,11 +64,11 @@
 			l.closed.Store(true) // whoever serves on it says so
 			return nil, err
 		case err != nil:
-			l.fail("accept_failed", zap.String("cause", err.Error()))
+			l.recordFailure("accept_failed", zap.String("cause", err.Error()))
 			return nil, err
-		case l.most > 0 && l.open.Load() >= l.most:
-			callersTurnedAway.Add(1)
-			l.fail("callers_turned_away", zap.Int64("open", l.open.Load()))
+		case l.maxOpen > 0 && l.open.Load() >= l.maxOpen:
+			callersRejected.Add(1)
+			l.recordFailure("callers_turned_away", zap.Int64("open", l.open.Load()))
 			_ = c.Close()
 		default:
 			callersOpen.Set(l.open.Add(1))
@@ -78,12 +78,12 @@
 }
 
 // fail notes that a connection couldn't be taken, with a line if the last one was a while ago.
-func (l *Listener) fail(event string, f ...zap.Field) {
+func (l *Listener) recordFailure(event string, f ...zap.Field) {
 	now := l.clock.Now()
 	if !l.Failing(now) {
 		l.log.Warn(event, append(f, zap.String("address", l.Addr().String()))...)
 	}
-	l.failed.Store(now.UnixNano())
+	l.failedAt.Store(now.UnixNano())
 }
 
 // callerConn is a caller's connection, which counts until it is closed.
@@ -101,11 +101,11 @@
 
 // Failing tells whether it failed a moment ago, or is closed.
 func (l *Listener) Failing(now time.Time) bool {
-	at := l.failed.Load()
-	return l.closed.Load() || at != 0 && now.Sub(time.Unix(0, at)) < Keeps
+	at := l.failedAt.Load()
+	return l.closed.Load() || at != 0 && now.Sub(time.Unix(0, at)) < FailureHold
 }
 
 var (
 	callersOpen       = expvar.NewInt("callers_connected")
-	callersTurnedAway = expvar.NewInt("callers_turned_away")
+	callersRejected = expvar.NewInt("callers_turned_away")
 )
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -19,7 +19,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	clock := timer.NewManual(time.Unix(1000, 0))
-	w := &Listener{Listener: l, clock: clock.Service(), log: zap.NewNop(), most: 2}
+	w := &Listener{Listener: l, clock: clock.Service(), log: zap.NewNop(), maxOpen: 2}
 	taken := make(chan net.Conn, 8)
 	go func() {
 		for {
@@ -53,7 +53,7 @@
 	require.NoError(t, l.Close())
 	<-taken
 	t.Run("how many", func(t *testing.T) {
-		assert.Zero(t, mostCallers(0))
-		assert.Equal(t, int64(1665), mostCallers(4100))
+		assert.Zero(t, maxCallers(0))
+		assert.Equal(t, int64(1665), maxCallers(4100))
 	})
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -81,7 +81,7 @@
 			return "", true
 		}
 	}
-	if w := s.o.Node.View().Workspace(t); w != nil {
+	if w := s.o.Node.View().WorkspaceByKey(t); w != nil {
 		return w.Name(), true
 	}
 	return "", false
@@ -125,7 +125,7 @@
 		code = connect.CodeFailedPrecondition
 	case errors.Is(err, config.ErrNoRevision):
 		code = connect.CodeNotFound
-	case errors.Is(err, config.ErrUndecided):
+	case errors.Is(err, config.ErrUncertain):
 		code = connect.CodeUnknown
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrBudget), errors.Is(err, store.ErrUnknown):
 		code = connect.CodeUnavailable
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -37,7 +37,7 @@
 const (
 	DecisionRun Decision = iota
 	DecisionWait
-	DecisionRefuse
+	DecisionReject
 )
 
 // Cause says why a request was refused.
@@ -59,7 +59,7 @@
 	Rate     float64 // requests a second; 0: no limit
 	InFlight int
 	Queue    int
-	Share    float64 // weight in the fair queue
+	Weight    float64 // weight in the fair queue
 }
 
 // Request is one request offered.
@@ -68,7 +68,7 @@
 	Workspace string
 	Class     Class
 	Limits    Limits
-	Size      float64       // expected slot time in units of an average request
+	Cost      float64       // expected slot time in units of an average request
 	MaxWait   time.Duration // refused if it would wait longer
 }
 
@@ -81,8 +81,8 @@
 
 // Options sets a controller.
 type Options struct {
-	Reserve float64       // share of the slots that batch never takes
-	Service time.Duration // of an average request, until measured
+	BatchReserve float64       // share of the slots that batch never takes
+	ServiceTime time.Duration // of an average request, until measured
 	FIFO    bool          // baseline: one queue, no classes, no early refusal
 }
 
@@ -94,13 +94,13 @@
 	service float64 // measured, seconds
 	virtual [2]float64
 	queues  [2]queue
-	spaces  map[string]*space
+	workspaces  map[string]*workspace
 	waiting map[string]*item
 	active  map[string]*item
 	serial  int
 }
 
-type space struct {
+type workspace struct {
 	tokens   float64
 	updated  time.Duration
 	inFlight int
@@ -108,13 +108,13 @@
 	finish   [2]float64
 }
 
-func (s *space) waiting() int { return s.queued[ClassLive] + s.queued[ClassBatch] }
+func (s *workspace) waiting() int { return s.queued[ClassLive] + s.queued[ClassBatch] }
 
 type item struct {
 	r        Request
 	finish   float64
 	serial   int
-	at       time.Duration
+	offered       time.Duration
 	index    int
 	deadline time.Duration
 	started  time.Duration
@@ -123,11 +123,11 @@
 
 // New returns a controller with no slots.
 func New(o Options) *Controller {
-	if o.Service == 0 {
-		o.Service = time.Second
+	if o.ServiceTime == 0 {
+		o.ServiceTime = time.Second
 	}
 	return &Controller{
-		o: o, service: o.Service.Seconds(), spaces: make(map[string]*space),
+		o: o, service: o.ServiceTime.Seconds(), workspaces: make(map[string]*workspace),
 		waiting: make(map[string]*item), active: make(map[string]*item),
 	}
 }
@@ -145,46 +145,46 @@
 // Waiting returns the number of requests in the queues.
 func (c *Controller) Waiting() int { return len(c.waiting) }
 
-func (c *Controller) space(name string) *space {
-	s := c.spaces[name]
+func (c *Controller) workspace(name string) *workspace {
+	s := c.workspaces[name]
 	if s == nil {
-		s = &space{tokens: -1}
-		c.spaces[name] = s
+		s = &workspace{tokens: -1}
+		c.workspaces[name] = s
 	}
 	return s
 }
 
 // Offer asks for a request to be run.
 func (c *Controller) Offer(now time.Duration, r Request) Verdict {
-	s := c.space(r.Workspace)
-	if v := c.check(now, s, &r); v.Decision == DecisionRefuse {
+	s := c.workspace(r.Workspace)
+	if v := c.check(now, s, &r); v.Decision == DecisionReject {
 		return v
 	}
-	it := &item{r: r, at: now, serial: c.serial, deadline: now + r.MaxWait}
+	it := &item{r: r, offered: now, serial: c.serial, deadline: now + r.MaxWait}
 	c.serial++
 	if c.fits(r.Class) && c.queues[ClassLive].Len() == 0 && (r.Class == ClassLive || c.queues[ClassBatch].Len() == 0) {
 		c.admit(now, s, it)
 		return Verdict{Decision: DecisionRun}
 	}
-	if v := c.mayWait(s, &r); v.Decision == DecisionRefuse {
+	if v := c.mayWait(s, &r); v.Decision == DecisionReject {
 		return v
 	}
 	c.enqueue(s, it)
 	return Verdict{Decision: DecisionWait}
 }
 
-func refuse(c Cause, after time.Duration) Verdict {
-	return Verdict{Decision: DecisionRefuse, Cause: c, RetryAfter: max(after, minRetryAfter)}
+func reject(c Cause, after time.Duration) Verdict {
+	return Verdict{Decision: DecisionReject, Cause: c, RetryAfter: max(after, minRetryAfter)}
 }
 
 const minRetryAfter = 100 * time.Millisecond
 
-func (c *Controller) check(now time.Duration, s *space, r *Request) Verdict {
+func (c *Controller) check(now time.Duration, s *workspace, r *Request) Verdict {
 	if c.slots <= 0 {
-		return refuse(CauseEmpty, time.Second)
+		return reject(CauseEmpty, time.Second)
 	}
 	if r.Limits.InFlight > 0 && s.inFlight+s.waiting() >= r.Limits.InFlight {
-		return refuse(CauseInFlight, c.averageService())
+		return reject(CauseInFlight, c.averageService())
 	}
 	if r.Limits.Rate <= 0 {
 		return Verdict{}
@@ -196,7 +196,7 @@
 	s.tokens = math.Min(burst, s.tokens+(now-s.updated).Seconds()*r.Limits.Rate)
 	s.updated = now
 	if s.tokens < 1 {
-		return refuse(CauseRate, time.Duration((1-s.tokens)/r.Limits.Rate*float64(time.Second)))
+		return reject(CauseRate, time.Duration((1-s.tokens)/r.Limits.Rate*float64(time.Second)))
 	}
 	s.tokens--
 	return Verdict{}
@@ -207,33 +207,33 @@
 }
 
 // Room returns the slots that requests share here, and how many of these end a second where all slots are taken.
-func (c *Controller) Room() (slots, perSecond float64) {
-	return c.slots, c.slots / max(c.service, leastService)
+func (c *Controller) Capacity() (slots, perSecond float64) {
+	return c.slots, c.slots / max(c.service, minService)
 }
 
 // leastService keeps what a request is taken to last from being nothing, before one has been measured.
-const leastService = 0.001 // seconds
+const minService = 0.001 // seconds
 
 // fits tells whether a slot is free for the class.
 func (c *Controller) fits(k Class) bool {
 	free := c.slots - float64(c.Running())
 	if k == ClassBatch && !c.o.FIFO {
-		free -= c.reserved()
+		free -= c.unusedReserve()
 	}
 	return free >= 1 || c.Running() == 0 && c.slots > 0 && (k == ClassLive || c.queues[ClassLive].Len() == 0)
 }
 
 // reserved is the part of the reserve that live work doesn't use already.
-func (c *Controller) reserved() float64 {
-	return math.Max(0, c.o.Reserve*c.slots-float64(c.running[ClassLive]))
+func (c *Controller) unusedReserve() float64 {
+	return math.Max(0, c.o.BatchReserve*c.slots-float64(c.running[ClassLive]))
 }
 
-func (c *Controller) mayWait(s *space, r *Request) Verdict {
+func (c *Controller) mayWait(s *workspace, r *Request) Verdict {
 	if r.Limits.Queue > 0 && s.waiting() >= r.Limits.Queue {
-		return refuse(CauseQueue, c.expected(r))
+		return reject(CauseQueue, c.expectedWait(r))
 	}
-	if w := c.expected(r); w > r.MaxWait && !c.o.FIFO {
-		return refuse(CauseWait, w-r.MaxWait)
+	if w := c.expectedWait(r); w > r.MaxWait && !c.o.FIFO {
+		return reject(CauseWait, w-r.MaxWait)
 	}
 	return Verdict{}
 }
@@ -241,23 +241,23 @@
 // expected is the wait of a request offered now: the work queued before it, over
 // the slots. A workspace with little queued goes before one with much, so what
 // counts is its own share of the queue.
-func (c *Controller) expected(r *Request) time.Duration {
+func (c *Controller) expectedWait(r *Request) time.Duration {
 	ahead := float64(c.queues[ClassLive].Len())
 	if r.Class == ClassBatch || c.o.FIFO {
 		ahead += float64(c.queues[ClassBatch].Len())
 	}
 	// Only its own class counts: a workspace with many jobs waiting must not have its
 	// live requests refused for them.
-	own := c.space(r.Workspace).queued[r.Class]
-	ahead = math.Min(ahead, float64(own+1)*float64(c.busySpaces(r.Class)))
+	own := c.workspace(r.Workspace).queued[r.Class]
+	ahead = math.Min(ahead, float64(own+1)*float64(c.busyWorkspaces(r.Class)))
 	return time.Duration((ahead + 1) / c.slots * c.service * float64(time.Second))
 }
 
 // busySpaces counts the workspaces with requests of a class waiting, and one more for
 // who asks.
-func (c *Controller) busySpaces(k Class) int {
+func (c *Controller) busyWorkspaces(k Class) int {
 	n := 1
-	for _, s := range c.spaces {
+	for _, s := range c.workspaces {
 		if s.queued[k] > 0 {
 			n++
 		}
@@ -265,13 +265,13 @@
 	return n
 }
 
-func (c *Controller) enqueue(s *space, it *item) {
+func (c *Controller) enqueue(s *workspace, it *item) {
 	k := it.r.Class
 	if c.o.FIFO {
 		it.finish = float64(it.serial)
 	} else {
 		start := math.Max(c.virtual[k], s.finish[k])
-		it.finish = start + math.Max(it.r.Size, 0.01)/math.Max(it.r.Limits.Share, 0.01)
+		it.finish = start + math.Max(it.r.Cost, 0.01)/math.Max(it.r.Limits.Weight, 0.01)
 		s.finish[k] = it.finish
 	}
 	s.queued[k]++
@@ -279,7 +279,7 @@
 	heap.Push(&c.queues[k], it)
 }
 
-func (c *Controller) admit(now time.Duration, s *space, it *item) {
+func (c *Controller) admit(now time.Duration, s *workspace, it *item) {
 	s.inFlight++
 	it.started = now
 	c.running[it.r.Class]++
@@ -296,7 +296,7 @@
 		}
 		it := heap.Pop(&c.queues[k]).(*item)
 		delete(c.waiting, it.r.ID)
-		s := c.space(it.r.Workspace)
+		s := c.workspace(it.r.Workspace)
 		s.queued[k]--
 		c.virtual[k] = math.Max(c.virtual[k], it.finish)
 		c.admit(now, s, it)
@@ -324,7 +324,7 @@
 
 // Unserved says that an admitted request found no upstream, so that its end tells nothing of the service time: callers
 // that are turned away at once would make waits look short that aren't.
-func (c *Controller) Unserved(id string) {
+func (c *Controller) MarkUnserved(id string) {
 	if it := c.active[id]; it != nil {
 		it.unserved = true
 	}
@@ -338,11 +338,11 @@
 	}
 	delete(c.active, id)
 	c.running[it.r.Class]--
-	c.space(it.r.Workspace).inFlight--
+	c.workspace(it.r.Workspace).inFlight--
 	if !it.unserved {
 		c.service += serviceGain * ((now - it.started).Seconds() - c.service)
 	}
-	c.tidy(it.r.Workspace)
+	c.dropIdle(it.r.Workspace)
 	return c.start(now)
 }
 
@@ -350,10 +350,10 @@
 const serviceGain = 0.05
 
 // tidy drops a workspace that has nothing here, so that memory follows use.
-func (c *Controller) tidy(name string) {
-	s := c.spaces[name]
+func (c *Controller) dropIdle(name string) {
+	s := c.workspaces[name]
 	if s.inFlight == 0 && s.waiting() == 0 && s.tokens < 0 {
-		delete(c.spaces, name)
+		delete(c.workspaces, name)
 	}
 }
 
@@ -365,7 +365,7 @@
 	}
 	heap.Remove(&c.queues[it.r.Class], it.index)
 	delete(c.waiting, id)
-	c.space(it.r.Workspace).queued[it.r.Class]--
+	c.workspace(it.r.Workspace).queued[it.r.Class]--
 	return true
 }
 
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -14,7 +14,7 @@
 // is done nothing is left.
 func TestEveryRequestIsAccountedForOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := New(Options{Reserve: 0.25, Service: time.Second})
+		c := New(Options{BatchReserve: 0.25, ServiceTime: time.Second})
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
 		c.SetSlots(0, float64(slots))
 		running, waiting := map[string]bool{}, map[string]bool{}
@@ -32,8 +32,8 @@
 			case 0, 1:
 				id := fmt.Sprint(i)
 				v := c.Offer(now, Request{
-					ID: id, Workspace: fmt.Sprint(i % 3), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")), Size: 1,
-					MaxWait: 2 * time.Second, Limits: Limits{Share: 1, InFlight: 4, Queue: 3, Rate: 20},
+					ID: id, Workspace: fmt.Sprint(i % 3), Class: Class(rapid.IntRange(0, 1).Draw(t, "class")), Cost: 1,
+					MaxWait: 2 * time.Second, Limits: Limits{Weight: 1, InFlight: 4, Queue: 3, Rate: 20},
 				})
 				switch v.Decision {
 				case DecisionRun:
@@ -73,15 +73,15 @@
 
 // TestRequestsThatFindNoUpstream: they end at once, which makes nobody's wait shorter.
 func TestRequestsThatFindNoUpstream(t *testing.T) {
-	c := New(Options{Service: time.Second})
+	c := New(Options{ServiceTime: time.Second})
 	c.SetSlots(0, 2)
-	_, before := c.Room()
+	_, before := c.Capacity()
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		c.Offer(0, Request{ID: id, Workspace: "w"})
-		c.Unserved(id)
+		c.MarkUnserved(id)
 		c.Done(0, id)
 	}
-	_, after := c.Room()
+	_, after := c.Capacity()
 	assert.Equal(t, before, after)
 }
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -58,7 +58,7 @@
 }
 
 // Defaults returns the options for ordinary use.
-func Defaults() Options {
+func DefaultOptions() Options {
 	return Options{
 		Headroom: 1.4, Floor: 0.5, ZoneShare: 0.5, Lost: 0.1,
 		Backoff: 30 * time.Second, Longest: 15 * time.Minute, Surplus: 10 * time.Minute, Starting: 5 * time.Minute,
@@ -69,7 +69,7 @@
 type Order struct {
 	Start *Offer
 	Stop  string // id of a VM
-	Why   string
+	Reason   string
 }
 
 // Planner remembers refusals and starts under way. It isn't safe for concurrent use.
@@ -169,7 +169,7 @@
 		if s.onDemand < floor {
 			why = "on-demand floor for live work"
 		}
-		r = append(r, Order{Start: &f, Why: why})
+		r = append(r, Order{Start: &f, Reason: why})
 		s.all += float64(f.Slots)
 		s.zones[f.Zone] += float64(f.Slots)
 		if !f.Reclaimable {
@@ -236,7 +236,7 @@
 		if v.Load > 0 || s.all-n < need*slack || !v.Reclaimable && s.onDemand-n < floor {
 			continue
 		}
-		return []Order{{Stop: v.ID, Why: "more slots than demand"}}
+		return []Order{{Stop: v.ID, Reason: "more slots than demand"}}
 	}
 	return nil
 }
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -26,14 +26,14 @@
 }
 
 func TestPlanMixesFloorAndZones(t *testing.T) {
-	got := started(New(Defaults()).Plan(0, nil, offers, Demand{Live: 16, Batch: 16}))
+	got := started(New(DefaultOptions()).Plan(0, nil, offers, Demand{Live: 16, Batch: 16}))
 	assert.Equal(t, 1, got[onDemand], "half of the live slots")
 	assert.Positive(t, got[cheap])
 	assert.Positive(t, got[other], "not all in the cheapest zone")
 }
 
 func TestRefusedStartTriesTheNext(t *testing.T) {
-	p := New(Defaults())
+	p := New(DefaultOptions())
 	p.Refused(0, cheap)
 	got := started(p.Plan(time.Second, nil, offers, Demand{Batch: 8}))
 	assert.Zero(t, got[cheap])
@@ -48,11 +48,11 @@
 		{ID: "dear", Zone: "z3", Price: 3, Slots: 8},
 		{ID: "busy", Zone: "z3", Price: 4, Slots: 8, Load: 1},
 	}
-	p := New(Defaults())
+	p := New(DefaultOptions())
 	d := Demand{Live: 1}
 	assert.Empty(t, p.Plan(0, vms, offers, d), "a lull is no reason")
 	assert.Empty(t, p.Plan(9*time.Minute, vms, offers, d))
-	assert.Equal(t, []Order{{Stop: "dear", Why: "more slots than demand"}}, p.Plan(11*time.Minute, vms, offers, d))
+	assert.Equal(t, []Order{{Stop: "dear", Reason: "more slots than demand"}}, p.Plan(11*time.Minute, vms, offers, d))
 	assert.Empty(t, p.Plan(12*time.Minute, vms, offers, d), "one at a time")
 	assert.Empty(t, p.Plan(40*time.Minute, vms[:1], offers, Demand{}), "the last one stays")
 }
@@ -61,7 +61,7 @@
 // serves the demand, keeps the floor, and then orders nothing more.
 func TestPlanSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Defaults())
+		p := New(DefaultOptions())
 		d := Demand{Live: rapid.Float64Range(0, 60).Draw(t, "live"), Batch: rapid.Float64Range(0, 60).Draw(t, "batch")}
 		var vms []VM
 		now := time.Duration(0)
--- a/internal/autoscale/engines_test.go
+++ b/internal/autoscale/engines_test.go
@@ -65,8 +65,8 @@
 			for _, slots := range []int{12, 24, 128} {
 				for _, c := range []traffic{{20, 600, 80}, {20, 6000, 300}, {150, 600, 300}, {150, 3000, 40}, {600, 2000, 100}} {
 					e := trueEngine{reading, step, slots}
-					m, now := NewMix(MixDefaults(boot)), time.Duration(0)
-					work := e.learned().Work(c.prompt, c.output, capacity.Size{Slots: slots}).Times(c.rate)
+					m, now := NewMixPlanner(DefaultMixOptions(boot)), time.Duration(0)
+					work := e.learned().Work(c.prompt, c.output, capacity.Size{Slots: slots}).Scale(c.rate)
 					halls := threeHalls(400, 0)
 					for ; now < 20*time.Second; now += time.Second {
 						m.Observe(now, work, halls)
--- a/internal/autoscale/mix.go
+++ b/internal/autoscale/mix.go
@@ -55,7 +55,7 @@
 	// which the halls not yet hit are likely next.
 	Calm time.Duration
 	// Fresh says that the whole system starts for the first time.
-	Fresh bool
+	FirstStart bool
 	// Hold is how long the need has to be lower before on-demand upstreams go: as long as it
 	// takes to have them back, and be listed.
 	Hold time.Duration
@@ -71,15 +71,15 @@
 
 // MixDefaults returns the options in use for upstreams that boot in so long;
 // docs/DECISIONS.md has the trials.
-func MixDefaults(boot time.Duration) MixOptions {
+func DefaultMixOptions(boot time.Duration) MixOptions {
 	return MixOptions{
-		Busy: capacity.Work{Reading: 0.75, Slots: 0.9, Memory: 0.9}, Spare: 2,
+		Busy: capacity.Work{Prefill: 0.75, Slots: 0.9, Memory: 0.9}, Spare: 2,
 		Calm: boot + calmBeyond, Hold: boot + holdBeyond,
 	}
 }
 
 // Mix plans one service. It isn't safe for concurrent use.
-type Mix struct {
+type MixPlanner struct {
 	o        MixOptions
 	notice   time.Duration // of the last notice seen
 	noticed  bool
@@ -97,8 +97,8 @@
 }
 
 // NewMix returns a planner.
-func NewMix(o MixOptions) *Mix {
-	return &Mix{o: o, refused: make(map[string]time.Duration), refusals: make(map[string]int), lacking: make(map[string]time.Duration)}
+func NewMixPlanner(o MixOptions) *MixPlanner {
+	return &MixPlanner{o: o, refused: make(map[string]time.Duration), refusals: make(map[string]int), lacking: make(map[string]time.Duration)}
 }
 
 const (
@@ -114,13 +114,13 @@
 )
 
 // Refused notes that a hall had no reclaimable upstreams to give.
-func (m *Mix) Refused(now time.Duration, hall string) {
+func (m *MixPlanner) Refused(now time.Duration, hall string) {
 	m.refused[hall] = now + min(refusalPause<<min(m.refusals[hall], 4), refusalLimit)
 	m.refusals[hall]++
 }
 
 // Granted notes that a hall gave some.
-func (m *Mix) Granted(hall string) {
+func (m *MixPlanner) Granted(hall string) {
 	delete(m.refused, hall)
 	delete(m.refusals, hall)
 }
@@ -128,8 +128,8 @@
 // Observe takes in a moment: load is the work that comes each second. It is called by every
 // process, so that whichever gives orders next knows of the need and the notices of the last
 // seconds.
-func (m *Mix) Observe(now time.Duration, load capacity.Work, halls []HallState) {
-	need, binds := load.Unhurried(ready(halls)).Engines(m.o.Busy)
+func (m *MixPlanner) Observe(now time.Duration, load capacity.Work, halls []HallState) {
+	need, binds := load.Uncontended(ready(halls)).Engines(m.o.Busy)
 	m.binds = binds
 	m.hold(now, need)
 	m.find(now, halls)
@@ -137,7 +137,7 @@
 }
 
 // Plan returns the counts wanted after what was observed last.
-func (m *Mix) Plan(now time.Duration, s MixSpec, halls []HallState) []Count {
+func (m *MixPlanner) Plan(now time.Duration, s MixSpec, halls []HallState) []Count {
 	found := m.floor(now)
 	buys := m.decide(now, s, len(halls))
 	need := math.Max(m.need(), m.keep(found, buys, halls))
@@ -182,7 +182,7 @@
 // alone is how many on-demand upstreams a hall needs to stand alone, if reclaimable ones are
 // not to be had there: the orders are refused, or nothing has come of them for longer than
 // that takes.
-func (m *Mix) alone(now time.Duration, part float64, h HallState, wanted int) int {
+func (m *MixPlanner) alone(now time.Duration, part float64, h HallState, wanted int) int {
 	if h.Reclaimable >= wanted {
 		delete(m.lacking, h.Hall)
 	} else if _, ok := m.lacking[h.Hall]; !ok {
@@ -203,7 +203,7 @@
 // bear their loss, cost less than on-demand ones for the same need.
 // Until work was measured for a while they are, if they are cheaper at all: the first work
 // says little of what comes.
-func (m *Mix) decide(now time.Duration, s MixSpec, halls int) bool {
+func (m *MixPlanner) decide(now time.Duration, s MixSpec, halls int) bool {
 	if s.ReclaimablePrice <= 0 || s.ReclaimablePrice >= 1 {
 		return false
 	}
@@ -230,7 +230,7 @@
 
 // reclaimable is how many reclaimable upstreams a hall should have if its part of the need
 // is so many.
-func (m *Mix) reclaimable(now time.Duration, part float64, h HallState) int {
+func (m *MixPlanner) reclaimable(now time.Duration, part float64, h HallState) int {
 	want := int(math.Ceil(part - 1e-9))
 	if m.begun {
 		want += m.o.Spare
@@ -245,7 +245,7 @@
 }
 
 // Binds is what upstreams would run out of first under the load observed last.
-func (m *Mix) Binds() capacity.Resource { return m.binds }
+func (m *MixPlanner) BindingResource() capacity.Resource { return m.binds }
 
 // needed is the need at a moment.
 type needed struct {
@@ -254,7 +254,7 @@
 }
 
 // hold keeps the needs of a while. None counts until work has come.
-func (m *Mix) hold(now time.Duration, need float64) {
+func (m *MixPlanner) hold(now time.Duration, need float64) {
 	if !m.begun {
 		if need <= idleNeed {
 			return
@@ -271,7 +271,7 @@
 
 // need rises at once and falls when it has been lower for a while: it is the highest of
 // that while.
-func (m *Mix) need() float64 {
+func (m *MixPlanner) need() float64 {
 	high := 0.0
 	for _, v := range m.recent {
 		high = math.Max(high, v.need)
@@ -280,7 +280,7 @@
 }
 
 // find notes what is there on demand before this process could measure anything.
-func (m *Mix) find(now time.Duration, halls []HallState) {
+func (m *MixPlanner) find(now time.Duration, halls []HallState) {
 	if !m.observed {
 		m.observed, m.first = true, now
 	}
@@ -291,7 +291,7 @@
 
 // floor is what was found, until work has come and for a while afterwards: the first work
 // says little of what comes, and a process that has just started measures too little.
-func (m *Mix) floor(now time.Duration) float64 {
+func (m *MixPlanner) floor(now time.Duration) float64 {
 	if m.settled(now) {
 		return 0
 	}
@@ -299,16 +299,16 @@
 }
 
 // settled tells whether work has been measured for long enough that fewer may be ordered.
-func (m *Mix) settled(now time.Duration) bool {
+func (m *MixPlanner) settled(now time.Duration) bool {
 	return m.begun && now-m.began >= m.o.Hold
 }
 
 // keep is the part of what was found that on-demand upstreams go on carrying, whatever was
 // measured: all of it if somebody has held it to be needed, what is there of it if nothing
 // takes its place.
-func (m *Mix) keep(found float64, buys bool, halls []HallState) float64 {
+func (m *MixPlanner) keep(found float64, buys bool, halls []HallState) float64 {
 	switch {
-	case !m.o.Fresh:
+	case !m.o.FirstStart:
 		return found
 	case !buys || len(m.refusals) > 0:
 		return math.Min(found, onDemandOf(halls))
@@ -335,7 +335,7 @@
 
 // notices notes when a hall was last seen under notice. A reclaim takes all of a hall; where
 // some are left, the others leave because fewer were ordered.
-func (m *Mix) notices(now time.Duration, halls []HallState) {
+func (m *MixPlanner) notices(now time.Duration, halls []HallState) {
 	for _, h := range halls {
 		if h.Leaving > 0 && h.Reclaimable == 0 {
 			m.noticed, m.notice = true, now
@@ -344,7 +344,7 @@
 }
 
 // dependable is how many reclaimable upstreams are left if the hall with most is taken.
-func (m *Mix) dependable(halls []HallState) int {
+func (m *MixPlanner) dependable(halls []HallState) int {
 	sum, most := 0, 0
 	for _, h := range halls {
 		sum += h.Reclaimable
--- a/internal/autoscale/mix_test.go
+++ b/internal/autoscale/mix_test.go
@@ -13,7 +13,7 @@
 const boot = 4 * time.Second
 
 // nearly7 is a load for which six upstreams aren't enough.
-var nearly7 = 6.15 * MixDefaults(boot).Busy.Reading
+var nearly7 = 6.15 * DefaultMixOptions(boot).Busy.Prefill
 
 var mixSpec = MixSpec{Min: 1, Max: 6, ReclaimablePrice: 0.22}
 
@@ -26,10 +26,10 @@
 }
 
 // reading is work that only has to be read.
-func reading(x float64) capacity.Work { return capacity.Work{Reading: x} }
+func reading(x float64) capacity.Work { return capacity.Work{Prefill: x} }
 
 // plan observes a moment and plans for it.
-func plan(m *Mix, now time.Duration, load float64, s MixSpec, halls []HallState) []Count {
+func plan(m *MixPlanner, now time.Duration, load float64, s MixSpec, halls []HallState) []Count {
 	m.Observe(now, reading(load), halls)
 	return m.Plan(now, s, halls)
 }
@@ -43,8 +43,8 @@
 }
 
 // loaded returns a planner that has seen a load for long enough to lower its base.
-func loaded(load float64, halls []HallState) (*Mix, time.Duration) {
-	m, now := NewMix(MixDefaults(boot)), time.Duration(0)
+func loaded(load float64, halls []HallState) (*MixPlanner, time.Duration) {
+	m, now := NewMixPlanner(DefaultMixOptions(boot)), time.Duration(0)
 	for ; now < time.Minute; now += time.Second {
 		plan(m, now, load, mixSpec, halls)
 	}
@@ -53,7 +53,7 @@
 
 func TestMix(t *testing.T) {
 	t.Run("until work has come, reclaimable ones take the place of what was found", func(t *testing.T) {
-		m := NewMix(MixDefaults(boot))
+		m := NewMixPlanner(DefaultMixOptions(boot))
 		n, r := sums(plan(m, 0, 0, mixSpec, threeHalls(3, 0)))
 		assert.Equal(t, 9, n, "not before they are there")
 		assert.Equal(t, 9, r)
@@ -70,7 +70,7 @@
 		assert.GreaterOrEqual(t, r, 6)
 	})
 	t.Run("a planner that starts amid the work keeps what it finds for a while", func(t *testing.T) {
-		m := NewMix(MixDefaults(boot))
+		m := NewMixPlanner(DefaultMixOptions(boot))
 		plan(m, 0, 0, mixSpec, threeHalls(2, 0))
 		n, _ := sums(plan(m, time.Second, 0.3, mixSpec, threeHalls(2, 0)))
 		assert.Equal(t, 6, n)
@@ -80,24 +80,24 @@
 		assert.Equal(t, leastOnDemand, n)
 	})
 	t.Run("a fresh system holds no more on demand than the base until work has come", func(t *testing.T) {
-		o := MixDefaults(boot)
-		o.Fresh = true
-		n, r := sums(plan(NewMix(o), 0, 0, mixSpec, threeHalls(3, 0)))
+		o := DefaultMixOptions(boot)
+		o.FirstStart = true
+		n, r := sums(plan(NewMixPlanner(o), 0, 0, mixSpec, threeHalls(3, 0)))
 		assert.Equal(t, 3, n, "one in each hall that has no other")
 		assert.Equal(t, 9, r)
-		n, _ = sums(plan(NewMix(o), 0, 0, mixSpec, threeHalls(3, 3)))
+		n, _ = sums(plan(NewMixPlanner(o), 0, 0, mixSpec, threeHalls(3, 3)))
 		assert.Equal(t, leastOnDemand, n)
-		m := NewMix(o)
+		m := NewMixPlanner(o)
 		m.Refused(0, "a")
 		n, _ = sums(plan(m, 0, 0, mixSpec, threeHalls(3, 0)))
 		assert.Equal(t, 9, n, "reclaimable ones aren't to be had")
 	})
 	t.Run("a fresh system that can't buy reclaimable ones keeps what it found for a while", func(t *testing.T) {
-		o := MixDefaults(boot)
-		o.Fresh = true
+		o := DefaultMixOptions(boot)
+		o.FirstStart = true
 		dear := mixSpec
 		dear.ReclaimablePrice = 0
-		m := NewMix(o)
+		m := NewMixPlanner(o)
 		plan(m, 0, 0, dear, threeHalls(3, 0))
 		n, _ := sums(plan(m, time.Second, 0.2, dear, threeHalls(3, 0)))
 		assert.Equal(t, 9, n)
@@ -105,24 +105,24 @@
 		assert.Equal(t, 3, n)
 	})
 	t.Run("in a wave right after its first work a fresh system orders by what it measured", func(t *testing.T) {
-		o := MixDefaults(boot)
-		o.Fresh = true
-		m := NewMix(o)
+		o := DefaultMixOptions(boot)
+		o.FirstStart = true
+		m := NewMixPlanner(o)
 		plan(m, 0, 0, mixSpec, threeHalls(3, 0))
 		h := threeHalls(1, 3)
 		h[0].Reclaimable, h[0].Leaving = 0, 3
 		m.Refused(time.Second, "a")
-		n, r := sums(plan(m, time.Second, 3.1*MixDefaults(boot).Busy.Reading, mixSpec, h))
+		n, r := sums(plan(m, time.Second, 3.1*DefaultMixOptions(boot).Busy.Prefill, mixSpec, h))
 		assert.Equal(t, 4, n)
 		assert.GreaterOrEqual(t, r, 9, "reclaimable ones take the place of what was found")
 	})
 	t.Run("reclaimable ones stay until work has been measured for a while", func(t *testing.T) {
-		m := NewMix(MixDefaults(boot))
+		m := NewMixPlanner(DefaultMixOptions(boot))
 		_, r := sums(plan(m, 0, 0, mixSpec, threeHalls(1, 5)))
 		assert.Equal(t, 15, r, "nothing is known of the load")
 		_, r = sums(plan(m, time.Second, 0.5, mixSpec, threeHalls(1, 5)))
 		assert.Equal(t, 15, r, "the first work says little")
-		_, r = sums(plan(m, time.Second+MixDefaults(boot).Hold, 0.5, mixSpec, threeHalls(1, 5)))
+		_, r = sums(plan(m, time.Second+DefaultMixOptions(boot).Hold, 0.5, mixSpec, threeHalls(1, 5)))
 		assert.Less(t, r, 15)
 	})
 	t.Run("a successor that has observed knows of the wave and the need", func(t *testing.T) {
@@ -132,19 +132,19 @@
 		m.Observe(now, reading(6), h)
 		m.Observe(now+time.Second, reading(1), threeHalls(3, 0))
 		n, _ := sums(m.Plan(now+time.Second, mixSpec, threeHalls(3, 0)))
-		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Reading, 6.0)
+		assert.GreaterOrEqual(t, float64(n)*DefaultMixOptions(boot).Busy.Prefill, 6.0)
 	})
 	t.Run("the need is the highest of a while", func(t *testing.T) {
 		m, now := loaded(2, threeHalls(1, 0))
-		high, _ := sums(plan(m, now, 9.2*MixDefaults(boot).Busy.Reading, mixSpec, threeHalls(1, 0)))
+		high, _ := sums(plan(m, now, 9.2*DefaultMixOptions(boot).Busy.Prefill, mixSpec, threeHalls(1, 0)))
 		assert.Greater(t, high, 9)
-		n, _ := sums(plan(m, now+MixDefaults(boot).Hold, 2, mixSpec, threeHalls(1, 0)))
+		n, _ := sums(plan(m, now+DefaultMixOptions(boot).Hold, 2, mixSpec, threeHalls(1, 0)))
 		assert.Equal(t, high, n)
-		n, _ = sums(plan(m, now+MixDefaults(boot).Hold+time.Second, 2, mixSpec, threeHalls(1, 0)))
+		n, _ = sums(plan(m, now+DefaultMixOptions(boot).Hold+time.Second, 2, mixSpec, threeHalls(1, 0)))
 		assert.Less(t, n, high)
 	})
 	t.Run("a list that fills after the first look counts as found", func(t *testing.T) {
-		m := NewMix(MixDefaults(boot))
+		m := NewMixPlanner(DefaultMixOptions(boot))
 		plan(m, 0, 0, mixSpec, threeHalls(1, 0))
 		plan(m, time.Second, 0, mixSpec, threeHalls(3, 0))
 		n, _ := sums(plan(m, time.Minute, 0, mixSpec, threeHalls(0, 0)))
@@ -155,8 +155,8 @@
 		h := threeHalls(1, 4)
 		h[0].Reclaimable, h[0].Leaving = 0, 4
 		n, _ := sums(plan(m, now, 4, mixSpec, h))
-		assert.GreaterOrEqual(t, float64(n)*MixDefaults(boot).Busy.Reading, 4.0)
-		now += MixDefaults(boot).Calm + time.Second
+		assert.GreaterOrEqual(t, float64(n)*DefaultMixOptions(boot).Busy.Prefill, 4.0)
+		now += DefaultMixOptions(boot).Calm + time.Second
 		n, _ = sums(plan(m, now, 4, mixSpec, threeHalls(3, 4)))
 		assert.Equal(t, leastOnDemand, n)
 	})
@@ -188,8 +188,8 @@
 		}
 	})
 	t.Run("the cheapest halls get the odd ones", func(t *testing.T) {
-		m, now := loaded(4*MixDefaults(boot).Busy.Reading, threeHalls(3, 0))
-		for _, c := range plan(m, now, 4*MixDefaults(boot).Busy.Reading, mixSpec, threeHalls(3, 0)) {
+		m, now := loaded(4*DefaultMixOptions(boot).Busy.Prefill, threeHalls(3, 0))
+		for _, c := range plan(m, now, 4*DefaultMixOptions(boot).Busy.Prefill, mixSpec, threeHalls(3, 0)) {
 			assert.Equal(t, map[string]int{"a": 2, "b": 1, "c": 1}[c.Hall], c.OnDemand, c.Hall)
 		}
 	})
@@ -226,7 +226,7 @@
 		for price, bought := range map[float64]bool{0.2: true, 0.4: true, 0.9: false} {
 			s := mixSpec
 			s.ReclaimablePrice = price
-			m, now := NewMix(MixDefaults(boot)), time.Duration(0)
+			m, now := NewMixPlanner(DefaultMixOptions(boot)), time.Duration(0)
 			for ; now < time.Minute; now += time.Second {
 				plan(m, now, nearly7, s, threeHalls(3, 0))
 			}
@@ -240,7 +240,7 @@
 	t.Run("the first work decides nothing on the kind", func(t *testing.T) {
 		s := mixSpec
 		s.ReclaimablePrice = 0.6
-		m := NewMix(MixDefaults(boot))
+		m := NewMixPlanner(DefaultMixOptions(boot))
 		plan(m, 0, 0, s, threeHalls(1, 4))
 		_, r := sums(plan(m, time.Second, 0.3, s, threeHalls(1, 4)))
 		assert.Equal(t, 12, r)
@@ -263,7 +263,7 @@
 	t.Run("dear reclaimable ones aren't bought", func(t *testing.T) {
 		s := mixSpec
 		s.ReclaimablePrice = 1.2
-		_, r := sums(plan(NewMix(MixDefaults(boot)), 0, 4, s, threeHalls(1, 0)))
+		_, r := sums(plan(NewMixPlanner(DefaultMixOptions(boot)), 0, 4, s, threeHalls(1, 0)))
 		assert.Zero(t, r)
 	})
 }
@@ -271,7 +271,7 @@
 // TestMixKeepsItsBounds draws loads, notices, refusals and losses.
 func TestMixKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, now := NewMix(MixDefaults(boot)), time.Duration(0)
+		m, now := NewMixPlanner(DefaultMixOptions(boot)), time.Duration(0)
 		s := MixSpec{Min: rapid.IntRange(0, 2).Draw(t, "min"), Max: rapid.IntRange(2, 8).Draw(t, "max"), ReclaimablePrice: rapid.Float64Range(0, 1.5).Draw(t, "price")}
 		for i := 0; i < 60; i++ {
 			now += time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms")) * time.Millisecond
@@ -303,26 +303,26 @@
 		return h
 	}
 	spec := MixSpec{Min: 0, Max: 40, ReclaimablePrice: 0.22}
-	inC := func(m *Mix, now time.Duration, h []HallState) int {
-		for _, c := range plan(m, now, 24*MixDefaults(boot).Busy.Reading, spec, h) {
+	inC := func(m *MixPlanner, now time.Duration, h []HallState) int {
+		for _, c := range plan(m, now, 24*DefaultMixOptions(boot).Busy.Prefill, spec, h) {
 			if c.Hall == "c" {
 				return c.OnDemand
 			}
 		}
 		return -1
 	}
-	play := func(m *Mix, c int) int {
+	play := func(m *MixPlanner, c int) int {
 		n, now := 0, time.Duration(0)
 		for ; now < time.Minute; now += time.Second {
 			n = inC(m, now, halls(c))
 		}
 		return n
 	}
-	assert.Equal(t, 4, play(NewMix(MixDefaults(boot)), 0), "half of its part, since nothing came")
-	assert.Equal(t, 2, play(NewMix(MixDefaults(boot)), 2), "with what is there")
-	assert.Zero(t, play(NewMix(MixDefaults(boot)), 12), "none where reclaimable ones come")
+	assert.Equal(t, 4, play(NewMixPlanner(DefaultMixOptions(boot)), 0), "half of its part, since nothing came")
+	assert.Equal(t, 2, play(NewMixPlanner(DefaultMixOptions(boot)), 2), "with what is there")
+	assert.Zero(t, play(NewMixPlanner(DefaultMixOptions(boot)), 12), "none where reclaimable ones come")
 	t.Run("at once where they are refused", func(t *testing.T) {
-		m, now := NewMix(MixDefaults(boot)), time.Minute
+		m, now := NewMixPlanner(DefaultMixOptions(boot)), time.Minute
 		for k := time.Duration(0); k < now; k += time.Second {
 			inC(m, k, halls(12))
 		}
--- a/internal/autoscale/rate.go
+++ b/internal/autoscale/rate.go
@@ -23,26 +23,26 @@
 const leastWeight = 0.4
 
 // Sum is what a node has counted since its process began.
-type Sum struct {
+type Counter struct {
 	Value capacity.Work
-	At    time.Time // when it was heard
+	ReceivedAt    time.Time // when it was heard
 }
 
 // Rate is the rate at which sums grow. Its zero value has measured nothing.
-type Rate struct {
+type RateEstimator struct {
 	nodes map[string]*nodeRate
 }
 
 // nodeRate is one node's rate.
 type nodeRate struct {
-	last   Sum
+	last   Counter
 	value  capacity.Work // weighed average; what isn't measured yet counts as 0
 	weight float64       // of what was measured in value, up to 1
 }
 
 // Take takes in the sums of a moment, and returns the rate a second. A node that wasn't
 // heard within silent counts nothing: its callers have gone to others.
-func (r *Rate) Take(now time.Time, sums map[string]Sum, silent time.Duration) capacity.Work {
+func (r *RateEstimator) Estimate(now time.Time, sums map[string]Counter, silent time.Duration) capacity.Work {
 	if r.nodes == nil {
 		r.nodes = make(map[string]*nodeRate)
 	}
@@ -59,25 +59,25 @@
 			r.nodes[n] = v
 		}
 		v.take(s)
-		if now.Sub(s.At) <= silent {
-			all = all.Plus(v.value.Times(1 / max(v.weight, leastWeight)))
+		if now.Sub(s.ReceivedAt) <= silent {
+			all = all.Add(v.value.Scale(1 / max(v.weight, leastWeight)))
 		}
 	}
 	return all
 }
 
 // take takes in what was heard. A sum that became smaller belongs to a new process.
-func (v *nodeRate) take(s Sum) {
-	d := s.At.Sub(v.last.At).Seconds()
-	grown := s.Value.Plus(v.last.Value.Times(-1))
+func (v *nodeRate) take(s Counter) {
+	d := s.ReceivedAt.Sub(v.last.ReceivedAt).Seconds()
+	grown := s.Value.Add(v.last.Value.Scale(-1))
 	if d <= 0 {
 		return
 	}
 	v.last = s
-	if grown.Reading < 0 || grown.Slots < 0 || grown.Memory < 0 {
+	if grown.Prefill < 0 || grown.Slots < 0 || grown.Memory < 0 {
 		return
 	}
 	gain := d / (d + rateHalf.Seconds())
-	v.value = v.value.Times(1 - gain).Plus(grown.Times(gain / d))
+	v.value = v.value.Scale(1 - gain).Add(grown.Scale(gain / d))
 	v.weight += gain * (1 - v.weight)
 }
--- a/internal/autoscale/rate_test.go
+++ b/internal/autoscale/rate_test.go
@@ -11,15 +11,15 @@
 
 // crowd is two nodes whose work grows.
 type crowd struct {
-	r     Rate
+	r     RateEstimator
 	now   time.Time
-	sums  map[string]Sum
+	sums  map[string]Counter
 	value float64 // last measured
 }
 
 func newCrowd(a, b float64) *crowd {
 	now := time.Unix(1000, 0)
-	return &crowd{now: now, sums: map[string]Sum{"a": {reading(a), now}, "b": {reading(b), now}}}
+	return &crowd{now: now, sums: map[string]Counter{"a": {reading(a), now}, "b": {reading(b), now}}}
 }
 
 // run lets the nodes named be heard for some steps, each with so much more work; the others
@@ -28,12 +28,12 @@
 	for i := 0; i < steps; i++ {
 		c.now = c.now.Add(rateStep)
 		for _, n := range heard {
-			c.sums[n] = Sum{c.sums[n].Value.Plus(reading(each)), c.now}
+			c.sums[n] = Counter{c.sums[n].Value.Add(reading(each)), c.now}
 		}
 		for n := range unheard {
 			unheard[n] += each
 		}
-		c.value = c.r.Take(c.now, map[string]Sum{"a": c.sums["a"], "b": c.sums["b"]}, 6*rateStep).Reading
+		c.value = c.r.Estimate(c.now, map[string]Counter{"a": c.sums["a"], "b": c.sums["b"]}, 6*rateStep).Prefill
 	}
 }
 
@@ -58,7 +58,7 @@
 	t.Run("a node that starts again takes nothing off", func(t *testing.T) {
 		c := newCrowd(0, 0)
 		c.run(100, 100, nil, "a", "b")
-		c.sums["b"] = Sum{reading(0), c.now}
+		c.sums["b"] = Counter{reading(0), c.now}
 		c.run(20, 100, nil, "a", "b")
 		assert.InDelta(t, 800, c.value, 1)
 	})
@@ -66,7 +66,7 @@
 		c, unheard := newCrowd(0, 0), map[string]float64{"b": 0}
 		for i := 0; i < 30; i++ {
 			c.run(4, 100, unheard, "a")
-			c.sums["b"] = Sum{reading(unheard["b"]), c.now}
+			c.sums["b"] = Counter{reading(unheard["b"]), c.now}
 		}
 		c.run(1, 100, unheard, "a")
 		assert.InDelta(t, 800, c.value, 1)
@@ -80,9 +80,9 @@
 	t.Run("what was done unheard isn't the work of the moment", func(t *testing.T) {
 		c, unheard := newCrowd(0, 0), map[string]float64{"b": 0}
 		c.run(100, 100, nil, "a", "b")
-		unheard["b"] = c.sums["b"].Value.Reading
+		unheard["b"] = c.sums["b"].Value.Prefill
 		c.run(24, 100, unheard, "a")
-		c.sums["b"] = Sum{reading(unheard["b"]), c.now}
+		c.sums["b"] = Counter{reading(unheard["b"]), c.now}
 		c.run(2, 100, nil, "a", "b")
 		assert.InDelta(t, 800, c.value, 10)
 	})
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -23,10 +23,10 @@
 type Meta struct {
 	ID         string        // the caller's name for this try
 	Credential string        // an API key, or empty
-	Wait       time.Duration // how long the caller waits for the answer
+	WaitLimit       time.Duration // how long the caller waits for the answer
 	Model      string
-	Prompt     int    // tokens of the prompt
-	Output     int    // most tokens of the answer
+	PromptTokens     int    // tokens of the prompt
+	MaxOutput     int    // most tokens of the answer
 	HasTokens  bool   // whether Prompt and Output were said
 	Parts      []Part // of the prompt, in order; the last one is the request's own
 	LastEvent  string // the stream event after which to go on
@@ -34,39 +34,39 @@
 
 // Order is what goes to an upstream beside the body.
 type Order struct {
-	Wait      time.Duration // what is left of the caller's wait
-	Upstream  string        // the only upstream life that may run the request
+	TimeLeft      time.Duration // what is left of the caller's wait
+	Incarnation  string        // the only upstream life that may run the request
 	Workspace string        // empty: none
 	LastEvent string        // go on after this event
 	Priority  int           // 0 is the most urgent, -1 leaves it unsaid
-	Fetch     string        // address of an upstream that has more of the prompt cached; empty: none
+	FetchFrom     string        // address of an upstream that has more of the prompt cached; empty: none
 }
 
 // Answer is what an upstream's head says.
-type Answer struct {
-	ID        string        // the request it answers; empty: it doesn't say
+type Response struct {
+	RequestID        string        // the request it answers; empty: it doesn't say
 	Signed    bool          // it bears the upstream's signature
 	NotRun    bool          // the upstream did not and won't run the request
 	Misplaced bool          // another life has the address
-	IdleLimit time.Duration // the upstream closes a connection idle for so long; 0: unsaid
+	IdleTimeout time.Duration // the upstream closes a connection idle for so long; 0: unsaid
 	Leaving   bool          // the upstream leaves, and is to get nothing new
-	Rest      time.Duration // the upstream wants nothing from this node for so long; 0: unsaid
+	Cooldown      time.Duration // the upstream wants nothing from this node for so long; 0: unsaid
 	Limit     Limit         // what the upstream takes from all nodes together
-	Unread    []string      // names of what else the upstream says of itself, which nothing here reads
+	UnknownHeaders    []string      // names of what else the upstream says of itself, which nothing here reads
 }
 
 // Limit is what an answer says of a rate that its upstream takes.
 type Limit struct {
-	Word LimitWord
+	Status LimitStatus
 	Rate float64 // requests a second from all nodes together, if one is named
 }
 
 // LimitWord is whether an answer names a limit.
-type LimitWord int
+type LimitStatus int
 
 // The words.
 const (
-	LimitUnheard LimitWord = iota // there was no answer, which says nothing
+	LimitNoResponse LimitStatus = iota // there was no answer, which says nothing
 	LimitNone                     // the upstream takes whatever it has room for
 	LimitNamed                    // it names one
 	LimitUnclear                  // it can't be told whether there is one: what was known holds
@@ -79,7 +79,7 @@
 	// WriteOrder turns a caller's header into the one for an upstream, in place.
 	WriteOrder func(h http.Header, o Order)
 	// ReadAnswer reads an upstream's head.
-	ReadAnswer func(a *http.Response) Answer
+	ReadResponse func(a *http.Response) Response
 	// WriteRetryAfter tells a caller when to come back.
 	WriteRetryAfter func(h http.Header, d time.Duration)
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -42,42 +42,42 @@
 // it, never orders: there it is the weight of a prompt against a place in a queue, and a
 // wrong one costs balance for some seconds.
 const (
-	priorReading = 30.0 // tokens a millisecond; engines in use read 20 to 160
-	priorFirst   = 50.0 // milliseconds
+	priorPrefillRate = 30.0 // tokens a millisecond; engines in use read 20 to 160
+	priorBaseDelay   = 50.0 // milliseconds
 )
 
 // FirstEvent is when a first event is due, in milliseconds after the send, if so many
 // tokens are read before it.
-func (e Engine) FirstEvent(tokens float64) float64 {
+func (e Engine) FirstEventDelay(tokens float64) float64 {
 	if e.Reading <= 0 {
-		return priorFirst + tokens/priorReading
+		return priorBaseDelay + tokens/priorPrefillRate
 	}
 	return e.First + tokens/e.Reading
 }
 
 // Read is how many milliseconds reading so many tokens takes.
-func (e Engine) Read(tokens float64) float64 {
+func (e Engine) PrefillTime(tokens float64) float64 {
 	if e.Reading <= 0 {
-		return tokens / priorReading
+		return tokens / priorPrefillRate
 	}
 	return tokens / e.Reading
 }
 
 // Work is what requests take of engines, in engines kept busy for a second each.
 type Work struct {
-	Reading float64 // seconds of reading
+	Prefill float64 // seconds of reading
 	Slots   float64 // seconds of a slot, over the slots of an engine
 	Memory  float64 // tokens held for a second, over the tokens that an engine holds
 }
 
 // Plus returns the sum of both.
-func (w Work) Plus(v Work) Work {
-	return Work{Reading: w.Reading + v.Reading, Slots: w.Slots + v.Slots, Memory: w.Memory + v.Memory}
+func (w Work) Add(v Work) Work {
+	return Work{Prefill: w.Prefill + v.Prefill, Slots: w.Slots + v.Slots, Memory: w.Memory + v.Memory}
 }
 
 // Times returns x times as much.
-func (w Work) Times(x float64) Work {
-	return Work{Reading: x * w.Reading, Slots: x * w.Slots, Memory: x * w.Memory}
+func (w Work) Scale(x float64) Work {
+	return Work{Prefill: x * w.Prefill, Slots: x * w.Slots, Memory: x * w.Memory}
 }
 
 // Resource is what an engine runs out of first.
@@ -85,7 +85,7 @@
 
 // The resources.
 const (
-	ResourceReading Resource = iota
+	ResourcePrefill Resource = iota
 	ResourceSlots
 	ResourceMemory
 )
@@ -103,11 +103,11 @@
 // those whose slots are taken add up. The larger of both alone is too few engines where both
 // bind, as in a wave of reclaims.
 func (w Work) Engines(shares Work) (float64, Resource) {
-	n, binds := w.Reading/shares.Reading, ResourceReading
-	if v := w.Reading + w.Slots/shares.Slots; v > n {
+	n, binds := w.Prefill/shares.Prefill, ResourcePrefill
+	if v := w.Prefill + w.Slots/shares.Slots; v > n {
 		n, binds = v, ResourceSlots
 	}
-	if v := w.Reading + w.Memory/shares.Memory; v > n {
+	if v := w.Prefill + w.Memory/shares.Memory; v > n {
 		n, binds = v, ResourceMemory
 	}
 	return n, binds
@@ -115,16 +115,16 @@
 
 // mostReading bounds the part of the time that engines are taken to read: past it, what
 // was measured is a queue and no speed.
-const mostReading = 0.8
+const maxPrefillShare = 0.8
 
 // Unhurried is the work as it would be on engines that did nothing else, where it was
 // measured on so many engines: what they read has held up what ran there.
-func (w Work) Unhurried(engines int) Work {
+func (w Work) Uncontended(engines int) Work {
 	if engines == 0 {
 		return w
 	}
-	free := 1 - min(w.Reading/float64(engines), mostReading)
-	return Work{Reading: w.Reading, Slots: w.Slots * free, Memory: w.Memory * free}
+	free := 1 - min(w.Prefill/float64(engines), maxPrefillShare)
+	return Work{Prefill: w.Prefill, Slots: w.Slots * free, Memory: w.Memory * free}
 }
 
 // Size is what an engine has, as configured. 0: unknown, and taken for no bound.
@@ -140,8 +140,8 @@
 	if !e.Known() {
 		return Work{}
 	}
-	w := Work{Reading: e.Read(read) / 1000}
-	held := (e.FirstEvent(read) + e.Token*output) / 1000
+	w := Work{Prefill: e.PrefillTime(read) / 1000}
+	held := (e.FirstEventDelay(read) + e.Token*output) / 1000
 	if s.Slots > 0 {
 		w.Slots = held / float64(s.Slots)
 	}
@@ -154,19 +154,19 @@
 const (
 	// samplesKept is the number of newest first events that a node fits to: some seconds
 	// of a busy node.
-	samplesKept = 64
+	maxSamples = 64
 	// samplesLeast is the number from which a fit is believed. Of fewer, one that waited in
 	// a queue nobody knew of bends the line.
-	samplesLeast = 16
+	minSamples = 16
 	// samplesAge is the age from which one isn't fitted to: engines are replaced by others.
-	samplesAge = 20 * time.Second
+	maxSampleAge = 20 * time.Second
 	// leastSpread is how far two prompts have to lie apart, as a share of the longest, for
 	// the line through them to tell of the reading.
-	leastSpread = 0.2
+	minSpread = 0.2
 	// fitEvery is how often a line is drawn: it costs some 0.3 ms of a core.
-	fitEvery = time.Second
+	fitInterval = time.Second
 	// fitHalf is the time in which the weight of what was learned before halves.
-	fitHalf = 5 * time.Second
+	fitHalfLife = 5 * time.Second
 	// tokenGain is the weight of the newest answer in the time of a token.
 	tokenGain = 1.0 / 100
 )
@@ -182,38 +182,38 @@
 type Learner struct {
 	ring   []sample // the newest, in no order
 	next   int
-	looked time.Time // when a fit was last tried
-	fitted time.Time // zero: no fit was made
+	lastAttempt time.Time // when a fit was last tried
+	lastFit time.Time // zero: no fit was made
 	engine Engine
-	spent  float64 // milliseconds after first events, fading
-	output float64 // tokens that could have gone out in them, fading
+	outputTime  float64 // milliseconds after first events, fading
+	outputTokens float64 // tokens that could have gone out in them, fading
 }
 
 // First takes in a first event: so many tokens were to be read before it, by what was known
 // when the request was sent.
-func (l *Learner) First(now time.Time, tokens float64, after time.Duration) {
+func (l *Learner) ObserveFirst(now time.Time, tokens float64, after time.Duration) {
 	v := sample{now, tokens, float64(after) / float64(time.Millisecond)}
-	if len(l.ring) < samplesKept {
+	if len(l.ring) < maxSamples {
 		l.ring = append(l.ring, v)
 		return
 	}
 	l.ring[l.next] = v
-	l.next = (l.next + 1) % samplesKept
+	l.next = (l.next + 1) % maxSamples
 }
 
 // Last takes in the whole rest of an answer, of which at most so many tokens could go out.
-func (l *Learner) Last(output float64, after time.Duration) {
+func (l *Learner) ObserveRest(output float64, after time.Duration) {
 	if output <= 0 {
 		return
 	}
-	l.spent += tokenGain * (float64(after)/float64(time.Millisecond) - l.spent)
-	l.output += tokenGain * (output - l.output)
-	l.engine.Token = l.spent / l.output
+	l.outputTime += tokenGain * (float64(after)/float64(time.Millisecond) - l.outputTime)
+	l.outputTokens += tokenGain * (output - l.outputTokens)
+	l.engine.Token = l.outputTime / l.outputTokens
 }
 
 // Recall takes in what was known before this process began, unless it has learned by itself.
 // The first fit takes its place.
-func (l *Learner) Recall(e Engine) {
+func (l *Learner) Restore(e Engine) {
 	if l.engine.Reading == 0 {
 		l.engine.Reading, l.engine.First = e.Reading, e.First
 	}
@@ -224,8 +224,8 @@
 
 // Engine returns what was learned up to now.
 func (l *Learner) Engine(now time.Time) Engine {
-	if now.Sub(l.looked) >= fitEvery {
-		l.looked = now
+	if now.Sub(l.lastAttempt) >= fitInterval {
+		l.lastAttempt = now
 		l.fit(now)
 	}
 	return l.engine
@@ -233,23 +233,23 @@
 
 // fit draws the line anew and moves what was known towards it.
 func (l *Learner) fit(now time.Time) {
-	fresh := slices.DeleteFunc(slices.Clone(l.ring), func(v sample) bool { return now.Sub(v.at) > samplesAge })
+	fresh := slices.DeleteFunc(slices.Clone(l.ring), func(v sample) bool { return now.Sub(v.at) > maxSampleAge })
 	l.engine.Samples = len(fresh)
-	if len(fresh) < samplesLeast {
+	if len(fresh) < minSamples {
 		return
 	}
 	slope, base, ok := line(fresh)
 	if !ok {
 		return
 	}
-	age := now.Sub(l.fitted)
-	known := !l.fitted.IsZero()
-	l.fitted = now
+	age := now.Sub(l.lastFit)
+	known := !l.lastFit.IsZero()
+	l.lastFit = now
 	if !known {
 		l.engine.Reading, l.engine.First = 1/slope, base
 		return
 	}
-	gain := 1 - math.Exp2(-float64(age)/float64(fitHalf))
+	gain := 1 - math.Exp2(-float64(age)/float64(fitHalfLife))
 	l.engine.Reading = 1 / (1/l.engine.Reading + gain*(slope-1/l.engine.Reading))
 	l.engine.First += gain * (base - l.engine.First)
 }
@@ -268,7 +268,7 @@
 	var slopes []weighted
 	for i, a := range l {
 		for _, b := range l[:i] {
-			if d := math.Abs(a.tokens - b.tokens); d > leastSpread*longest {
+			if d := math.Abs(a.tokens - b.tokens); d > minSpread*longest {
 				slopes = append(slopes, weighted{(a.ms - b.ms) / (a.tokens - b.tokens), d})
 			}
 		}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -33,9 +33,9 @@
 		if e.r.Float64() < waited {
 			ms += 2000 * e.r.Float64()
 		}
-		l.First(now, tokens, e.after(ms))
+		l.ObserveFirst(now, tokens, e.after(ms))
 		out := 10 + 300*e.r.Float64()
-		l.Last(out, e.after(out*e.token))
+		l.ObserveRest(out, e.after(out*e.token))
 		l.Engine(now)
 	}
 	return now
@@ -68,7 +68,7 @@
 	}
 	t.Run("no few answers", func(t *testing.T) {
 		var l Learner
-		now := newEngine().teach(&l, samplesLeast-1, 0)
+		now := newEngine().teach(&l, minSamples-1, 0)
 		assert.False(t, l.Engine(now.Add(time.Second)).Known())
 	})
 	t.Run("most answers, where one of seven waited", func(t *testing.T) {
@@ -80,8 +80,8 @@
 	t.Run("no prompts of one length", func(t *testing.T) {
 		var l Learner
 		for i := 0; i < 100; i++ {
-			l.First(start, 1000, time.Duration(20+i)*time.Millisecond)
-			l.Last(100, time.Second)
+			l.ObserveFirst(start, 1000, time.Duration(20+i)*time.Millisecond)
+			l.ObserveRest(100, time.Second)
 		}
 		assert.False(t, l.Engine(start).Known())
 	})
@@ -96,7 +96,7 @@
 	t.Run("what it recalls, until it has learned itself", func(t *testing.T) {
 		e := newEngine()
 		var l Learner
-		l.Recall(Engine{Reading: 30, First: 60, Token: 8})
+		l.Restore(Engine{Reading: 30, First: 60, Token: 8})
 		assert.Equal(t, 30.0, l.Engine(start).Reading)
 		now := e.teach(&l, 400, 0)
 		assertLearned(t, e, l.Engine(now))
@@ -128,23 +128,23 @@
 
 func ExampleWork_Engines() {
 	e := Engine{Reading: 90, First: 30, Token: 5, Samples: 400}
-	w := e.Work(6600, 385, Size{Slots: 24, Memory: 731_070}).Times(40) // 40 requests a second
-	n, binds := w.Engines(Work{Reading: 0.65, Slots: 0.8, Memory: 0.9})
+	w := e.Work(6600, 385, Size{Slots: 24, Memory: 731_070}).Scale(40) // 40 requests a second
+	n, binds := w.Engines(Work{Prefill: 0.65, Slots: 0.8, Memory: 0.9})
 	fmt.Printf("%.1f engines, bound by %s\n", n, binds)
 	// Output: 7.2 engines, bound by slots
 }
 
 func TestEngines(t *testing.T) {
-	shares := Work{Reading: 0.65, Slots: 0.8, Memory: 0.9}
+	shares := Work{Prefill: 0.65, Slots: 0.8, Memory: 0.9}
 	for name, c := range map[string]struct {
 		w     Work
 		n     float64
 		binds Resource
 	}{
-		"reading alone":               {Work{Reading: 2.6, Slots: 0.1}, 4, ResourceReading},
+		"reading alone":               {Work{Prefill: 2.6, Slots: 0.1}, 4, ResourcePrefill},
 		"slots alone":                 {Work{Slots: 4}, 5, ResourceSlots},
-		"slots beside reading":        {Work{Reading: 3, Slots: 4}, 8, ResourceSlots},
-		"memory beside reading":       {Work{Reading: 3, Slots: 1, Memory: 4.5}, 8, ResourceMemory},
+		"slots beside reading":        {Work{Prefill: 3, Slots: 4}, 8, ResourceSlots},
+		"memory beside reading":       {Work{Prefill: 3, Slots: 1, Memory: 4.5}, 8, ResourceMemory},
 		"what waits for memory first": {Work{Memory: 0.9}, 1, ResourceMemory},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,23 +154,23 @@
 		})
 	}
 	t.Run("what few engines held up counts as on many", func(t *testing.T) {
-		few := Work{Reading: 3, Slots: 4}.Unhurried(6)
-		assert.Equal(t, Work{Reading: 3, Slots: 2}, few)
-		assert.InEpsilon(t, 4.0, Work{Reading: 3, Slots: 4}.Unhurried(600).Slots, 0.01)
-		assert.Equal(t, Work{Reading: 3}, Work{Reading: 3}.Unhurried(0))
+		few := Work{Prefill: 3, Slots: 4}.Uncontended(6)
+		assert.Equal(t, Work{Prefill: 3, Slots: 2}, few)
+		assert.InEpsilon(t, 4.0, Work{Prefill: 3, Slots: 4}.Uncontended(600).Slots, 0.01)
+		assert.Equal(t, Work{Prefill: 3}, Work{Prefill: 3}.Uncontended(0))
 	})
 }
 
 func TestUnknownEnginesTakeNoWork(t *testing.T) {
 	assert.Zero(t, Engine{Reading: 90}.Work(1000, 100, Size{Slots: 8}))
-	assert.Positive(t, Engine{}.FirstEvent(1000), "but a choice needs some figure")
+	assert.Positive(t, Engine{}.FirstEventDelay(1000), "but a choice needs some figure")
 }
 
 // BenchmarkFit: the fit of a full ring takes some 0.2 ms of a core, once a second a service.
 func BenchmarkFit(b *testing.B) {
 	e := &engine{reading: 90, first: 30, token: 5, step: 5, r: rand.New(rand.NewPCG(1, 2))}
 	var l Learner
-	now := e.teach(&l, samplesKept, 0)
+	now := e.teach(&l, maxSamples, 0)
 	for b.Loop() {
 		l.fit(now)
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -41,7 +41,7 @@
 }
 
 // Share is a service's part of a route's requests.
-type Share struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -53,10 +53,10 @@
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
 	Timeout     time.Duration // the longest that a request is held; 0: no limit
-	Target      time.Duration // answers within it are in time
-	Pause       time.Duration // the longest pause between events that is in time
+	LatencyTarget      time.Duration // answers within it are in time
+	MaxEventGap       time.Duration // the longest pause between events that is in time
 	Priority    int           // 0 is the most urgent
-	Shares      []Share
+	Services      []WeightedService
 	MaxAttempts int // upstreams that one request may be sent to
 	Public      bool
 	Affinity    bool // requests share parts of their prompts
@@ -67,16 +67,16 @@
 type EngineSpec struct {
 	Slots       int
 	CacheTokens int // held by running requests and cached prompt parts together
-	EventTokens int // of one stream event
+	TokensPerEvent int // of one stream event
 	// FetchTokens is how many cached tokens go from one engine to another in a
 	// millisecond; 0: none do.
-	FetchTokens float64
+	FetchTokensPerMs float64
 }
 
 // ScalingSpec says within what bounds upstreams are ordered.
 type ScalingSpec struct {
 	Min, Max   int // in each zone
-	Boot       time.Duration
+	BootTime       time.Duration
 	SpotPrice  float64            // of a reclaimable upstream, relative to an on-demand one
 	ZonePrices map[string]float64 // of an upstream, by zone
 }
@@ -95,15 +95,15 @@
 	Keys        []string
 	HasPriority bool
 	Priority    int     // goes before the route's
-	PlainTokens float64 // charged for a request that doesn't say its tokens
+	DefaultTokens float64 // charged for a request that doesn't say its tokens
 	Rate        float64 // tokens a second over all nodes; 0: no limit
 	Burst       float64
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
-	MaxHeader     int // bytes
-	MaxBody       int // bytes
+	MaxHeaderBytes     int // bytes
+	MaxBodyBytes       int // bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -114,7 +114,7 @@
 	Routes     []RouteSpec
 	Services   []ServiceSpec
 	Workspaces []WorkspaceSpec
-	Keyed      bool // callers have to show a key
+	RequireKey      bool // callers have to show a key
 	Limits     Limits
 }
 
@@ -134,10 +134,10 @@
 func (r *Route) Timeout() time.Duration { return r.spec.Timeout }
 
 // Target returns the time within which an answer is in time.
-func (r *Route) Target() time.Duration { return r.spec.Target }
+func (r *Route) LatencyTarget() time.Duration { return r.spec.LatencyTarget }
 
 // Pause returns the longest pause between events that is in time.
-func (r *Route) Pause() time.Duration { return r.spec.Pause }
+func (r *Route) MaxEventGap() time.Duration { return r.spec.MaxEventGap }
 
 // MaxAttempts returns the number of upstreams that one request may be sent to.
 func (r *Route) MaxAttempts() int { return max(1, r.spec.MaxAttempts) }
@@ -162,17 +162,17 @@
 // Service returns the service for a request. All nodes choose alike for one id, and
 // ids spread over the shares by their weights.
 func (r *Route) Service(id string) string {
-	if len(r.spec.Shares) == 1 || r.total == 0 {
-		return r.spec.Shares[0].Service
+	if len(r.spec.Services) == 1 || r.total == 0 {
+		return r.spec.Services[0].Service
 	}
 	n := int(xxhash.Sum64String(id) % uint64(r.total))
-	for _, s := range r.spec.Shares {
+	for _, s := range r.spec.Services {
 		if n < s.Weight {
 			return s.Service
 		}
 		n -= s.Weight
 	}
-	return r.spec.Shares[0].Service
+	return r.spec.Services[0].Service
 }
 
 // Workspace is one workspace of a catalog.
@@ -188,7 +188,7 @@
 func (w *Workspace) Burst() float64 { return w.spec.Burst }
 
 // PlainTokens returns the charge for a request that doesn't say its tokens.
-func (w *Workspace) PlainTokens() float64 { return w.spec.PlainTokens }
+func (w *Workspace) DefaultTokens() float64 { return w.spec.DefaultTokens }
 
 // Priority returns the urgency of a request on a route.
 func (w *Workspace) Priority(r *Route) int {
@@ -212,7 +212,7 @@
 // New builds a catalog, or says with ErrInvalid what is wrong.
 func New(s Spec) (*Catalog, error) {
 	c := &Catalog{
-		version: s.Version, keyed: s.Keyed, limits: s.Limits,
+		version: s.Version, keyed: s.RequireKey, limits: s.Limits,
 		routes: make(map[string]map[string]*Route), services: make(map[string]*ServiceSpec), keys: make(map[string]*Workspace),
 	}
 	for i := range s.Services {
@@ -237,11 +237,11 @@
 	if !strings.HasPrefix(s.Prefix, "/") || !strings.HasSuffix(s.Prefix, "/") {
 		return fault.Because(ErrInvalid, "route %q: prefix %q has to begin and end with a slash", s.Name, s.Prefix)
 	}
-	if len(s.Shares) == 0 {
+	if len(s.Services) == 0 {
 		return fault.Because(ErrInvalid, "route %q names no service", s.Name)
 	}
 	r := &Route{spec: s}
-	for _, v := range s.Shares {
+	for _, v := range s.Services {
 		if v.Weight < 0 {
 			return fault.Because(ErrInvalid, "route %q: service %q has the negative weight %d", s.Name, v.Service, v.Weight)
 		}
@@ -266,7 +266,7 @@
 func (c *Catalog) Version() int64 { return c.version }
 
 // Keyed tells whether callers have to show a key.
-func (c *Catalog) Keyed() bool { return c.keyed }
+func (c *Catalog) RequiresKey() bool { return c.keyed }
 
 // Limits returns what a caller may send.
 func (c *Catalog) Limits() Limits { return c.limits }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -28,7 +28,7 @@
 }
 
 func route(name, host, prefix string) RouteSpec {
-	return RouteSpec{Name: name, Host: host, Prefix: prefix, Shares: []Share{{Service: "s", Weight: 1}}}
+	return RouteSpec{Name: name, Host: host, Prefix: prefix, Services: []WeightedService{{Service: "s", Weight: 1}}}
 }
 
 func TestMatch(t *testing.T) {
@@ -46,7 +46,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	s := route("r", "a", "/")
-	s.Shares = []Share{{"big", 90}, {"small", 10}, {"none", 0}}
+	s.Services = []WeightedService{{"big", 90}, {"small", 10}, {"none", 0}}
 	r := build(t, Spec{Routes: []RouteSpec{s}}).Match("a", "/")
 	n := map[string]int{}
 	for i := 0; i < 10000; i++ {
@@ -62,9 +62,9 @@
 		name string
 		r    RouteSpec
 	}{
-		{"prefix", RouteSpec{Prefix: "x/", Shares: []Share{{"s", 1}}}},
+		{"prefix", RouteSpec{Prefix: "x/", Services: []WeightedService{{"s", 1}}}},
 		{"no service", RouteSpec{Prefix: "/"}},
-		{"weight", RouteSpec{Prefix: "/", Shares: []Share{{"s", -1}}}},
+		{"weight", RouteSpec{Prefix: "/", Services: []WeightedService{{"s", -1}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := New(Spec{Routes: []RouteSpec{c.r}})
@@ -75,7 +75,7 @@
 
 func TestWorkspacePriorityGoesFirst(t *testing.T) {
 	c := build(t, Spec{
-		Routes:     []RouteSpec{{Name: "r", Host: "a", Prefix: "/", Priority: 3, Shares: []Share{{"s", 1}}}},
+		Routes:     []RouteSpec{{Name: "r", Host: "a", Prefix: "/", Priority: 3, Services: []WeightedService{{"s", 1}}}},
 		Workspaces: []WorkspaceSpec{{Name: "w", Keys: []string{"k1", "k2"}, HasPriority: true, Priority: 1}, {Name: "v", Keys: []string{"k3"}}},
 	})
 	r := c.Match("a", "/")
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -40,7 +40,7 @@
 }
 
 // Recorded is a claim's value. Outcome is empty until the call has ended.
-type Recorded struct {
+type Record struct {
 	Attempt string              `json:"attempt"`
 	Outcome string              `json:"outcome,omitempty"`
 	Status  int                 `json:"status,omitempty"`
@@ -56,16 +56,16 @@
 	PeerUp func() bool // whether a peer says so of itself
 	Clock  *timer.Service
 	Send   func(ctx context.Context, m Member, g Message) (*Message, error)
-	Behalf func(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64)
+	ProxyWrite func(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64)
 	// EraseBehalf asks peers to erase a claim, and tells whether it is gone.
-	EraseBehalf func(ctx context.Context, key uint64, attempt string) bool
+	ProxyErase func(ctx context.Context, key uint64, attempt string) bool
 	Event       func(name, detail string)
 	Interval    time.Duration // of the group commit
 	Timeout     time.Duration // for a promise
 }
 
 // Book is one node's claims. It is safe for concurrent use.
-type Book struct {
+type Manager struct {
 	o       Options
 	mu      sync.Mutex
 	machine *Machine
@@ -98,8 +98,8 @@
 const queueLimit = 1024
 
 // NewBook returns a book. Run has to be called for it to do anything.
-func NewBook(o Options) *Book {
-	return &Book{
+func NewManager(o Options) *Manager {
+	return &Manager{
 		o: o, machine: New(o.Member.ID), members: make(map[string]Member),
 		waiting: make(map[string]chan Action), life: make(map[string]time.Duration),
 		writes: make(chan pendingWrite, queueLimit), leases: make(map[time.Duration]claimLease),
@@ -116,7 +116,7 @@
 func claimKey(k uint64) string { return fmt.Sprintf("%s%016x", claimPrefix, k) }
 
 // Run joins, follows the watch and writes claims until the context ends.
-func (b *Book) Run(ctx context.Context) {
+func (b *Manager) Run(ctx context.Context) {
 	b.mu.Lock()
 	b.ctx = ctx
 	b.mu.Unlock()
@@ -142,7 +142,7 @@
 
 // follow joins if that is still to do, reads members and claims at one revision
 // and follows them from there.
-func (b *Book) follow(ctx context.Context) error {
+func (b *Manager) follow(ctx context.Context) error {
 	if err := b.join(ctx); err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	}
 	b.load(r)
 	b.setPlatform(true)
-	return b.o.KV.Watch(ctx, store.Under(prefix, r.Revision+1), func(w store.WatchBatch) error {
+	return b.o.KV.Watch(ctx, store.PrefixSpan(prefix, r.Revision+1), func(w store.WatchBatch) error {
 		b.setPlatform(true)
 		var list []Change
 		for _, e := range w.Events {
@@ -168,7 +168,7 @@
 // join writes the member record. Records of earlier processes on the same peer
 // address go in the same transaction: two processes can't hold one address, so
 // they are dead.
-func (b *Book) join(ctx context.Context) error {
+func (b *Manager) join(ctx context.Context) error {
 	b.mu.Lock()
 	joined := b.created != 0
 	b.mu.Unlock()
@@ -210,7 +210,7 @@
 
 // load takes in a whole read: the first one joins the machine, a later one (after
 // the watch broke) is turned into the changes that were missed.
-func (b *Book) load(r store.RangeResult) {
+func (b *Manager) load(r store.RangeResult) {
 	var list []Change
 	seen := make(map[string]bool)
 	for _, p := range r.Pairs {
@@ -232,7 +232,7 @@
 	})
 }
 
-func (b *Book) change(p store.Pair, deleted bool) (Change, bool) {
+func (b *Manager) change(p store.Pair, deleted bool) (Change, bool) {
 	if id, ok := strings.CutPrefix(p.Key, memberPrefix); ok {
 		c := Change{Member: id, Deleted: deleted, Revision: p.Modified}
 		var m Member
@@ -252,7 +252,7 @@
 	if _, err := fmt.Sscanf(s, "%x", &c.Key); err != nil {
 		return Change{}, false
 	}
-	var v Recorded
+	var v Record
 	if !deleted && json.Unmarshal(p.Value, &v) == nil {
 		c.Attempt = v.Attempt
 	}
@@ -260,7 +260,7 @@
 }
 
 // setPlatform notes whether the own watch is up, and tells whether that is news.
-func (b *Book) setPlatform(up bool) bool {
+func (b *Manager) setPlatform(up bool) bool {
 	b.mu.Lock()
 	news := b.own != up
 	b.own = up
@@ -271,7 +271,7 @@
 
 // refreshPlatform tells the machine whether claims can be written, by this node or
 // by a peer for it.
-func (b *Book) refreshPlatform() {
+func (b *Manager) refreshPlatform() {
 	peer := b.o.PeerUp != nil && b.o.PeerUp()
 	b.mu.Lock()
 	up := b.own || peer
@@ -280,7 +280,7 @@
 }
 
 // do lets the machine take one step and carries out what it asks for.
-func (b *Book) do(step func(m *Machine) []Action) {
+func (b *Manager) do(step func(m *Machine) []Action) {
 	b.mu.Lock()
 	before := b.machine.Synced()
 	list := step(b.machine)
@@ -294,7 +294,7 @@
 	}
 }
 
-func (b *Book) carryOut(a Action) {
+func (b *Manager) carryOut(a Action) {
 	switch a.Kind {
 	case ActionSend:
 		go b.send(a.Message)
@@ -322,7 +322,7 @@
 // recordLifetime is how long a promise of another node's is kept as a claim.
 const recordLifetime = 24 * time.Hour
 
-func (b *Book) write(a Action) {
+func (b *Manager) write(a Action) {
 	b.mu.Lock()
 	d := b.life[a.Attempt]
 	b.mu.Unlock()
@@ -331,7 +331,7 @@
 	}})
 }
 
-func (b *Book) enqueue(p pendingWrite) {
+func (b *Manager) enqueue(p pendingWrite) {
 	select {
 	case b.writes <- p:
 	default:
@@ -345,7 +345,7 @@
 	releaseAgain = 500 * time.Millisecond
 )
 
-func (b *Book) syncLoop(ctx context.Context) {
+func (b *Manager) syncLoop(ctx context.Context) {
 	b.o.Clock.Every(ctx, syncAgain, func(time.Time) {
 		b.do(func(m *Machine) []Action { return m.SyncAgain() })
 	})
@@ -359,7 +359,7 @@
 
 // Claim asks for the permission to run a key. A granted claim has to be ended with
 // Finish.
-func (b *Book) Claim(ctx context.Context, key uint64, attempt string, lifetime time.Duration, promises bool) Grant {
+func (b *Manager) Claim(ctx context.Context, key uint64, attempt string, lifetime time.Duration, promises bool) Grant {
 	c := make(chan Action, 1)
 	b.mu.Lock()
 	b.waiting[attempt] = c
@@ -385,7 +385,7 @@
 
 // Finish ends a granted claim. ran is false only if the call certainly did not run
 // and never will. The answer, if any, is recorded for later callers of the key.
-func (b *Book) Finish(attempt string, ran bool, answer *Recorded) {
+func (b *Manager) Finish(attempt string, ran bool, answer *Record) {
 	var key uint64
 	b.do(func(m *Machine) []Action {
 		if a := m.attempts[attempt]; a != nil {
@@ -399,14 +399,14 @@
 }
 
 // Synced tells whether this node may claim.
-func (b *Book) Synced() bool {
+func (b *Manager) Synced() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.machine.Synced()
 }
 
 // View returns the members in view.
-func (b *Book) View() []Member {
+func (b *Manager) View() []Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var r []Member
@@ -418,7 +418,7 @@
 
 // Leave stops claiming for good, tells every member, and deletes the own record
 // once the promises held are recorded.
-func (b *Book) Leave(ctx context.Context) {
+func (b *Manager) Leave(ctx context.Context) {
 	b.mu.Lock()
 	list := b.machine.Leave()
 	created := b.created
@@ -444,7 +444,7 @@
 }
 
 // Retire deletes the record of a member whose VM, having been listed, is gone.
-func (b *Book) Retire(ctx context.Context, id string) error {
+func (b *Manager) Retire(ctx context.Context, id string) error {
 	_, err := b.o.KV.Txn(ctx, store.Txn{Then: []store.Op{{Kind: store.OpDelete, Key: memberPrefix + id}}})
 	return err
 }
--- a/internal/claim/book_test.go
+++ b/internal/claim/book_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestMarksOutliveTheirKeysOnly(t *testing.T) {
-	b := NewBook(Options{Member: Member{ID: "a"}})
+	b := NewManager(Options{Member: Member{ID: "a"}})
 	b.machine.Join([]Change{{Member: "a"}, {Member: "b"}})
 	b.machine.learn(Entry{Key: 1, Attempt: "x"})
 	start := time.Unix(1000, 0)
--- a/internal/claim/deliver.go
+++ b/internal/claim/deliver.go
@@ -8,7 +8,7 @@
 
 // send delivers one message and feeds the reply back. A member that can't be
 // reached blocks a promise, so the try ends at once.
-func (b *Book) send(g Message) {
+func (b *Manager) send(g Message) {
 	b.mu.Lock()
 	m, ok := b.members[g.To]
 	parent := b.ctx
@@ -32,14 +32,14 @@
 	}
 }
 
-func (b *Book) deliver(parent context.Context, m Member, g Message) (*Message, error) {
+func (b *Manager) deliver(parent context.Context, m Member, g Message) (*Message, error) {
 	ctx, cancel := context.WithTimeout(parent, b.o.Timeout)
 	defer cancel()
 	return b.o.Send(ctx, m, g)
 }
 
 // Receive takes a peer's message and returns the reply, if there is one for it.
-func (b *Book) Receive(g Message) *Message {
+func (b *Manager) Receive(g Message) *Message {
 	var reply *Message
 	b.do(func(m *Machine) []Action {
 		list := m.Receive(g)
--- a/internal/claim/expire.go
+++ b/internal/claim/expire.go
@@ -11,11 +11,11 @@
 
 // expireLoop forgets marks that have outlived every key's lifetime. Most go long before,
 // by a release or by turning into claims; this is for those whose release was lost.
-func (b *Book) expireLoop(ctx context.Context) {
+func (b *Manager) expireLoop(ctx context.Context) {
 	b.o.Clock.Every(ctx, expireEvery, b.expire)
 }
 
-func (b *Book) expire(now time.Time) {
+func (b *Manager) expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.marked
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -16,7 +16,7 @@
 // batchLimit keeps a transaction under the service's limit on operations.
 const batchLimit = 60
 
-func (b *Book) writeLoop(ctx context.Context) {
+func (b *Manager) writeLoop(ctx context.Context) {
 	for {
 		var list []pendingWrite
 		select {
@@ -41,7 +41,7 @@
 
 // commit settles a batch: in one transaction if no key is taken, else without the
 // taken ones, at most as often as there are keys.
-func (b *Book) commit(ctx context.Context, list []pendingWrite) {
+func (b *Manager) commit(ctx context.Context, list []pendingWrite) {
 	if !b.o.Up() {
 		for _, p := range list {
 			b.behalf(ctx, p)
@@ -62,7 +62,7 @@
 	}
 }
 
-func (b *Book) answer(list []pendingWrite, w WriteResult, revision int64) {
+func (b *Manager) answer(list []pendingWrite, w WriteResult, revision int64) {
 	for _, p := range list {
 		p.result(w, revision)
 	}
@@ -70,7 +70,7 @@
 
 // attemptCommit tries to claim all keys at once. If that fails it settles those
 // that are taken and returns the others.
-func (b *Book) attemptCommit(ctx context.Context, list []pendingWrite) ([]pendingWrite, error) {
+func (b *Manager) attemptCommit(ctx context.Context, list []pendingWrite) ([]pendingWrite, error) {
 	t, err := b.transaction(ctx, list)
 	if err != nil {
 		return nil, err
@@ -94,21 +94,21 @@
 	return left, nil
 }
 
-func (b *Book) transaction(ctx context.Context, list []pendingWrite) (store.Txn, error) {
+func (b *Manager) transaction(ctx context.Context, list []pendingWrite) (store.Txn, error) {
 	b.mu.Lock()
 	created := b.created
 	b.mu.Unlock()
 	return b.transactionFor(ctx, list, b.o.Member.ID, created)
 }
 
-func (b *Book) transactionFor(ctx context.Context, list []pendingWrite, member string, created int64) (store.Txn, error) {
+func (b *Manager) transactionFor(ctx context.Context, list []pendingWrite, member string, created int64) (store.Txn, error) {
 	t := store.Txn{If: []store.Compare{{Key: memberPrefix + member, Target: store.CompareCreated, Number: created}}}
 	for _, p := range list {
 		lease, err := b.lease(ctx, p.lifetime)
 		if err != nil {
 			return t, err
 		}
-		v, err := json.Marshal(Recorded{Attempt: p.attempt})
+		v, err := json.Marshal(Record{Attempt: p.attempt})
 		if err != nil {
 			return t, err
 		}
@@ -121,8 +121,8 @@
 }
 
 // judge compares a claim that was found with the one that was wanted.
-func (b *Book) judge(p pendingWrite, found store.Pair) (WriteResult, int64) {
-	var v Recorded
+func (b *Manager) judge(p pendingWrite, found store.Pair) (WriteResult, int64) {
+	var v Record
 	if json.Unmarshal(found.Value, &v) == nil && v.Attempt == p.attempt {
 		return WriteGranted, found.Modified
 	}
@@ -132,7 +132,7 @@
 // lease returns a platform lease that outlasts the lifetime. Claims made within
 // the same part of a lifetime share one, and the platform drops them when it ends:
 // no node has to sweep, and no claim depends on its holder.
-func (b *Book) lease(ctx context.Context, lifetime time.Duration) (int64, error) {
+func (b *Manager) lease(ctx context.Context, lifetime time.Duration) (int64, error) {
 	now := b.o.Clock.Now()
 	b.mu.Lock()
 	l, ok := b.leases[lifetime]
@@ -155,7 +155,7 @@
 const leaseParts = 24
 
 // settleUnknown settles a batch whose transaction gave no answer or wasn't made.
-func (b *Book) settleUnknown(ctx context.Context, list []pendingWrite, err error) {
+func (b *Manager) settleUnknown(ctx context.Context, list []pendingWrite, err error) {
 	if !errors.Is(err, store.ErrUnknown) {
 		for _, p := range list {
 			b.behalf(ctx, p)
@@ -169,7 +169,7 @@
 
 // readBack settles one write that got no answer. If its claim isn't there it is
 // written once more: the same attempt can't be granted twice over.
-func (b *Book) readBack(ctx context.Context, p pendingWrite) (WriteResult, int64) {
+func (b *Manager) readBack(ctx context.Context, p pendingWrite) (WriteResult, int64) {
 	r, err := b.o.KV.Range(ctx, claimKey(p.key), "")
 	if err != nil {
 		return WriteUnknown, 0
@@ -181,14 +181,14 @@
 }
 
 // writeOne writes one claim for this node, without reading back.
-func (b *Book) writeOne(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
+func (b *Manager) writeOne(ctx context.Context, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
 	b.mu.Lock()
 	created := b.created
 	b.mu.Unlock()
 	return b.writeFor(ctx, b.o.Member.ID, created, key, attempt, lifetime)
 }
 
-func (b *Book) writeFor(ctx context.Context, member string, created int64, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
+func (b *Manager) writeFor(ctx context.Context, member string, created int64, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
 	p := pendingWrite{key: key, attempt: attempt, lifetime: lifetime}
 	t, err := b.transactionFor(ctx, []pendingWrite{p}, member, created)
 	if err != nil {
@@ -207,17 +207,17 @@
 }
 
 // behalf asks the peers that still have the platform to claim for this node.
-func (b *Book) behalf(ctx context.Context, p pendingWrite) {
-	if b.o.Behalf == nil {
+func (b *Manager) behalf(ctx context.Context, p pendingWrite) {
+	if b.o.ProxyWrite == nil {
 		p.result(WriteUnknown, 0)
 		return
 	}
-	go func() { p.result(b.o.Behalf(ctx, p.key, p.attempt, p.lifetime)) }()
+	go func() { p.result(b.o.ProxyWrite(ctx, p.key, p.attempt, p.lifetime)) }()
 }
 
 // WriteFor claims on behalf of another member, whose record it compares: a member
 // that was removed can't claim through its peers either.
-func (b *Book) WriteFor(ctx context.Context, member string, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
+func (b *Manager) WriteFor(ctx context.Context, member string, key uint64, attempt string, lifetime time.Duration) (WriteResult, int64) {
 	if !b.o.Up() {
 		return WriteUnknown, 0
 	}
@@ -234,7 +234,7 @@
 // erase deletes the claim of an attempt that did not run, by itself or through a peer: a node that is cut
 // off from the platform may hold a claim that a peer has written for it, and its caller, who was told
 // that the call has not run, would find the key taken for as long as the cut lasts.
-func (b *Book) erase(a Action) {
+func (b *Manager) erase(a Action) {
 	b.mu.Lock()
 	ctx := b.ctx
 	b.mu.Unlock()
@@ -250,15 +250,15 @@
 	}
 }
 
-func (b *Book) eraseAnywhere(ctx context.Context, a Action) bool {
+func (b *Manager) eraseAnywhere(ctx context.Context, a Action) bool {
 	if b.o.Up() {
 		return b.eraseOnce(ctx, a.Key, a.Attempt)
 	}
-	return b.o.EraseBehalf != nil && b.o.EraseBehalf(ctx, a.Key, a.Attempt)
+	return b.o.ProxyErase != nil && b.o.ProxyErase(ctx, a.Key, a.Attempt)
 }
 
 // EraseFor erases the claim of another member's attempt that did not run.
-func (b *Book) EraseFor(ctx context.Context, key uint64, attempt string) bool {
+func (b *Manager) EraseFor(ctx context.Context, key uint64, attempt string) bool {
 	return b.o.Up() && b.eraseOnce(ctx, key, attempt)
 }
 
@@ -269,7 +269,7 @@
 	eraseAgain = 2 * time.Second
 )
 
-func (b *Book) eraseOnce(ctx context.Context, key uint64, attempt string) bool {
+func (b *Manager) eraseOnce(ctx context.Context, key uint64, attempt string) bool {
 	k := claimKey(key)
 	r, err := b.o.KV.Range(ctx, k, "")
 	if err != nil {
@@ -292,7 +292,7 @@
 const maxRecorded = 16 << 10
 
 // record keeps the answer with the claim.
-func (b *Book) record(key uint64, v Recorded) {
+func (b *Manager) record(key uint64, v Record) {
 	b.mu.Lock()
 	ctx := b.ctx
 	b.mu.Unlock()
@@ -318,14 +318,14 @@
 }
 
 // Answer returns what is recorded of a key.
-func (b *Book) Answer(ctx context.Context, key uint64) (Recorded, bool) {
+func (b *Manager) LoadRecord(ctx context.Context, key uint64) (Record, bool) {
 	r, err := b.o.KV.Range(ctx, claimKey(key), "")
 	if err != nil || len(r.Pairs) == 0 {
-		return Recorded{}, false
+		return Record{}, false
 	}
-	var v Recorded
+	var v Record
 	if json.Unmarshal(r.Pairs[0].Value, &v) != nil {
-		return Recorded{}, false
+		return Record{}, false
 	}
 	return v, true
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,8 +69,8 @@
 		v := NewView()
 		var highest uint64
 		for _, n := range rapid.SliceOf(rapid.Uint64Range(0, 6)).Draw(t, "revisions") {
-			err := v.Accept(Snapshot{Revision: n})
-			assert.Equal(t, n <= highest, Stale(err))
+			err := v.Apply(Snapshot{Revision: n})
+			assert.Equal(t, n <= highest, IsStale(err))
 			highest = max(highest, n)
 			assert.Equal(t, highest, v.Revision())
 		}
@@ -137,7 +137,7 @@
 		require.NoError(t, err)
 		times := make(map[string]int)
 		for i, v := range list {
-			times[v.Change]++
+			times[v.ChangeID]++
 			if i > 0 {
 				assert.Equal(t, list[i-1].Revision-1, v.Revision, "no gaps")
 			}
@@ -149,7 +149,7 @@
 			case errors.Is(err, ErrConflict):
 				assert.Zero(t, times[id], "told conflict")
 			default:
-				assert.ErrorIs(t, err, ErrUndecided)
+				assert.ErrorIs(t, err, ErrUncertain)
 				assert.LessOrEqual(t, times[id], 1)
 			}
 		}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -129,7 +129,7 @@
 	Timeout       Duration `yaml:"timeout"`
 	Share         float64  `yaml:"share"` // weight in the fair queue
 	Calls         []Call   `yaml:"calls"`
-	Refusals      []int    `yaml:"refusals"` // statuses by which the upstream says: not run
+	RejectStatuses      []int    `yaml:"refusals"` // statuses by which the upstream says: not run
 	Limits        Limits   `yaml:"limits"`
 	Weights       Weights  `yaml:"weights"`
 	Legacy        Legacy   `yaml:"legacy"`
--- a/internal/config/render.go
+++ b/internal/config/render.go
@@ -241,7 +241,7 @@
 
 // Call returns what holds for a call: the first declared group that matches, or
 // the rule that GET and HEAD may be repeated and every other method may not.
-func (s *Service) Call(method, path string) Call {
+func (s *Service) MatchCall(method, path string) Call {
 	for _, c := range s.Calls {
 		if (c.Method == "" || c.Method == method) && strings.HasPrefix(path, c.Path) {
 			if c.Repeatable == nil {
@@ -258,8 +258,8 @@
 func repeatableMethod(m string) bool { return m == http.MethodGet || m == http.MethodHead }
 
 // Refused tells whether the status says that the upstream did not run the call.
-func (s *Service) Refused(status int) bool {
-	for _, v := range s.Refusals {
+func (s *Service) IsRejection(status int) bool {
+	for _, v := range s.RejectStatuses {
 		if v == status {
 			return true
 		}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -33,7 +33,7 @@
 var ErrConflict = errs.NewType("conflict").New("the configuration has changed since your base revision")
 
 // ErrUndecided says that the platform gave no answer and couldn't be read back.
-var ErrUndecided = errs.NewType("undecided").New("the platform gave no answer: the change may or may not be in force; look at the history before you try again")
+var ErrUncertain = errs.NewType("undecided").New("the platform gave no answer: the change may or may not be in force; look at the history before you try again")
 
 // ErrNoRevision says that a revision doesn't exist.
 var ErrNoRevision = errs.NewType("no_revision").New("no such revision")
@@ -172,7 +172,7 @@
 	if err := checkAll(docs); err != nil {
 		return Snapshot{}, err
 	}
-	return Snapshot{Revision: n + 1, Change: c.ID, Author: c.Author, Note: c.Note, Applied: c.At, Documents: ordered(docs)}, nil
+	return Snapshot{Revision: n + 1, ChangeID: c.ID, Author: c.Author, Note: c.Note, AppliedAt: c.At, Documents: ordered(docs)}, nil
 }
 
 func ordered(docs map[string]Document) []Document {
@@ -191,8 +191,8 @@
 	got, err := s.Get(ctx, want.Revision)
 	switch {
 	case err != nil:
-		return Snapshot{}, fault.Because(ErrUndecided, "revision %d: %v", want.Revision, err)
-	case got.Change != want.Change:
+		return Snapshot{}, fault.Because(ErrUncertain, "revision %d: %v", want.Revision, err)
+	case got.ChangeID != want.ChangeID:
 		return Snapshot{}, s.conflict(ctx, want.Revision-1, want.Revision)
 	}
 	return got, nil
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -12,10 +12,10 @@
 // by one; each is written once and never changed.
 type Snapshot struct {
 	Revision  uint64     `json:"revision"`
-	Change    string     `json:"change"` // names the writer's intent
+	ChangeID    string     `json:"change"` // names the writer's intent
 	Author    string     `json:"author"`
 	Note      string     `json:"note"`
-	Applied   time.Time  `json:"applied"`
+	AppliedAt   time.Time  `json:"applied"`
 	Documents []Document `json:"documents"`
 }
 
@@ -23,21 +23,21 @@
 var ErrStale = errs.NewType("stale").New("not newer than the revision in force")
 
 // Rendered is one workspace with its services, ready for use.
-type Rendered struct {
+type RenderedWorkspace struct {
 	name     string
 	services map[string]*Service
 	chat     []*Service
 }
 
 // Name returns the workspace's name.
-func (r *Rendered) Name() string { return r.name }
+func (r *RenderedWorkspace) Name() string { return r.name }
 
 // Service returns the service of that name, or nil.
-func (r *Rendered) Service(name string) *Service { return r.services[name] }
+func (r *RenderedWorkspace) Service(name string) *Service { return r.services[name] }
 
 // Chat returns the chat service for a model: the service of that name, or the
 // only one there is when the model names none.
-func (r *Rendered) Chat(model string) *Service {
+func (r *RenderedWorkspace) ChatService(model string) *Service {
 	if s := r.services[model]; s != nil && s.Protocol == ProtocolChat {
 		return s
 	}
@@ -54,8 +54,8 @@
 type View struct {
 	mu       sync.RWMutex
 	snapshot Snapshot
-	byKey    map[string]*Rendered
-	byName   map[string]*Rendered
+	byKey    map[string]*RenderedWorkspace
+	byName   map[string]*RenderedWorkspace
 	changed  chan struct{}
 }
 
@@ -84,7 +84,7 @@
 }
 
 // Workspace returns the workspace that an API key belongs to, or nil.
-func (v *View) Workspace(apiKey string) *Rendered {
+func (v *View) WorkspaceByKey(apiKey string) *RenderedWorkspace {
 	h := HashKey(apiKey)
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -92,14 +92,14 @@
 }
 
 // Named returns the workspace of that name, or nil.
-func (v *View) Named(name string) *Rendered {
+func (v *View) WorkspaceByName(name string) *RenderedWorkspace {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.byName[name]
 }
 
 // Pools lists the pools that any service draws on, with the class of each.
-func (v *View) Pools() map[string]Protocol {
+func (v *View) PoolProtocols() map[string]Protocol {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	r := make(map[string]Protocol)
@@ -119,7 +119,7 @@
 
 // Accept puts a snapshot in force if it is newer than the one that is, and
 // returns ErrStale otherwise.
-func (v *View) Accept(s Snapshot) error {
+func (v *View) Apply(s Snapshot) error {
 	byKey, byName, err := renderAll(s)
 	if err != nil {
 		return err
@@ -136,11 +136,11 @@
 }
 
 // Stale tells whether an error of Accept only says that nothing was newer.
-func Stale(err error) bool { return errors.Is(err, ErrStale) }
+func IsStale(err error) bool { return errors.Is(err, ErrStale) }
 
-func renderAll(s Snapshot) (byKey, byName map[string]*Rendered, err error) {
+func renderAll(s Snapshot) (byKey, byName map[string]*RenderedWorkspace, err error) {
 	docs := index(s.Documents)
-	byKey, byName = make(map[string]*Rendered), make(map[string]*Rendered)
+	byKey, byName = make(map[string]*RenderedWorkspace), make(map[string]*RenderedWorkspace)
 	for _, d := range s.Documents {
 		if d.Kind != KindWorkspace {
 			continue
@@ -163,8 +163,8 @@
 	return byKey, byName, nil
 }
 
-func newRendered(name string, services []Service) *Rendered {
-	r := &Rendered{name: name, services: make(map[string]*Service, len(services))}
+func newRendered(name string, services []Service) *RenderedWorkspace {
+	r := &RenderedWorkspace{name: name, services: make(map[string]*Service, len(services))}
 	for i := range services {
 		s := &services[i]
 		r.services[s.Name] = s
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -26,10 +26,10 @@
 	Traceparent string
 	// Patient is set for a job: it waits out refusals until its deadline, since it
 	// was accepted.
-	Patient bool
+	RetryUntilDeadline bool
 	// Moved tells whether the request goes on at another node, so that its record
 	// must not end here; nil if it never does.
-	Moved func() bool
+	TakenOver func() bool
 }
 
 // Silences after which an engine counts as stalled. The first token waits for a
@@ -56,10 +56,10 @@
 		if err == nil {
 			return
 		}
-		if c.Moved != nil && c.Moved() {
+		if c.TakenOver != nil && c.TakenOver() {
 			return
 		}
-		if !c.Patient || x.Err() != nil {
+		if !c.RetryUntilDeadline || x.Err() != nil {
 			d.fail(c, l, err)
 			return
 		}
@@ -110,7 +110,7 @@
 		if d.endedElsewhere(c.identity, tried) {
 			return err
 		}
-		a := retry.Attempt{Repeatable: true, MayHaveRun: !errors.Is(err, upstream.ErrRefused), Left: c.Deadline.Sub(d.o.Clock.Now())}
+		a := retry.Attempt{Repeatable: true, MayHaveRun: !errors.Is(err, upstream.ErrRejected), TimeLeft: c.Deadline.Sub(d.o.Clock.Now())}
 		if ctx.Err() != nil || errors.Is(err, errNobody) || !p.again(tried, a) {
 			return err
 		}
@@ -131,7 +131,7 @@
 		return "", p.nobody(c.Record.ID())
 	}
 	l.fire("route")
-	number, offset := c.Record.Begin()
+	number, offset := c.Record.StartAttempt()
 	x, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	m := p.track(c, t.fact.ID, cancel)
@@ -147,13 +147,13 @@
 	}
 	call := &upstream.ChatCall{
 		RequestID: c.Record.ID(), Address: t.fact.Address, Body: c.Body, MaxTokens: c.MaxTokens,
-		Priority: priority, Offset: offset, Text: c.Record.Text(), FirstByte: first,
-		Between: betweenLimit, Traceparent: c.Traceparent,
+		Priority: priority, Offset: offset, Text: c.Record.Text(), FirstTokenTimeout: first,
+		TokenTimeout: betweenLimit, Traceparent: c.Traceparent,
 	}
 	l.fire("send")
 	begun := p.d.o.Clock.Now()
 	err := p.d.o.Client.Chat(x, call, func(k upstream.Chunk) error {
-		if k.Finish != "" {
+		if k.FinishReason != "" {
 			p.usage(&k.Usage)
 			c.Record.SetUsage(stream.Usage{Prompt: k.Usage.Prompt, Cached: k.Usage.Details.Cached})
 		}
@@ -171,7 +171,7 @@
 		l.fire("lost")
 		return next, errMoved
 	}
-	p.landed(t.fact.ID, err, ctx.Err() == nil && !errors.Is(err, upstream.ErrRefused))
+	p.landed(t.fact.ID, err, ctx.Err() == nil && !errors.Is(err, upstream.ErrRejected))
 	if err == nil {
 		l.fire("finish")
 		p.measured(t.fact.ID, p.d.o.Clock.Since(begun), c.Record.Len()-offset)
@@ -180,7 +180,7 @@
 		return "", nil
 	}
 	tried.note(t.fact.ID, err, p.d.o.Clock.Since(begun))
-	if errors.Is(err, upstream.ErrRefused) {
+	if errors.Is(err, upstream.ErrRejected) {
 		go p.d.checkLeaving(t.fact.ID, t.fact.Address)
 	}
 	l.failed(err)
--- a/internal/dispatch/life.go
+++ b/internal/dispatch/life.go
@@ -33,7 +33,7 @@
 
 // failed takes in how an attempt failed.
 func (v *life) failed(err error) {
-	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused) {
+	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRejected) {
 		v.fire("refused")
 		return
 	}
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -42,7 +42,7 @@
 // Leaving takes this node's streams off an upstream that has so long left. Streams
 // that can end, end; of the others, those worth it have their KV cache exported to
 // a successor first, and all go on elsewhere at the offset they had reached.
-func (d *Dispatcher) Leaving(ctx context.Context, f member.Fact, notice time.Duration) {
+func (d *Dispatcher) MoveStreams(ctx context.Context, f member.Fact, notice time.Duration) {
 	p := d.pool(f.Service)
 	moves, plan := p.plan(f, notice)
 	if len(moves) == 0 {
@@ -53,10 +53,10 @@
 	defer cancel()
 	for _, s := range plan {
 		m := moves[s.Index]
-		switch s.Act {
-		case reclaim.ActStay:
+		switch s.Action {
+		case reclaim.ActionStay:
 			continue
-		case reclaim.ActExport:
+		case reclaim.ActionExport:
 			p.export(x, f, m)
 		}
 		p.mu.Lock()
@@ -94,10 +94,10 @@
 		done := m.chat.Record.Len()
 		s := reclaim.Stream{
 			Live: m.chat.Service.Class == config.ClassLive, Tokens: m.chat.Prompt.Tokens + done,
-			Left: m.chat.MaxTokens - done, Weight: 1 + m.chat.Service.Weights.Recompute,
+			MaxRemaining: m.chat.MaxTokens - done, Weight: 1 + m.chat.Service.Weights.Recompute,
 		}
 		if done > 0 {
-			s.PerToken = now.Sub(m.begun) / time.Duration(done)
+			s.TokenTime = now.Sub(m.begun) / time.Duration(done)
 		}
 		moves, list = append(moves, m), append(list, s)
 	}
@@ -168,7 +168,7 @@
 		n := len(strings.Fields(t)) + 1
 		last := i == len(texts)-1
 		if last && i > 0 {
-			p.Reusable = p.Tokens
+			p.ReusableTokens = p.Tokens
 		}
 		p.Tokens += n
 		b.WriteString(roles[i])
@@ -177,9 +177,9 @@
 		b.WriteByte('\n')
 		if roles[i] == "user" && !user {
 			user = true
-			p.Own = route.HashID(b.String())
+			p.Conversation = route.HashID(b.String())
 		}
 	}
-	p.Reusable = max(p.Reusable, p.SharedTokens)
+	p.ReusableTokens = max(p.ReusableTokens, p.SharedTokens)
 	return p
 }
--- a/internal/dispatch/plain.go
+++ b/internal/dispatch/plain.go
@@ -33,16 +33,16 @@
 	// Claim asks for the permission to send a call that may not be repeated and has
 	// a key; nil if there is nothing to ask. It returns the function that ends the
 	// claim, or a final answer.
-	Claim func(ctx context.Context) (func(a *Answer), *Answer)
+	Claim func(ctx context.Context) (func(a *Response), *Response)
 }
 
 // Answer is the final answer to a call.
-type Answer struct {
+type Response struct {
 	Outcome    stream.Outcome
 	Status     int
 	Header     http.Header
 	Body       []byte
-	Rest       io.ReadCloser // of a body longer than what is held, or nil
+	Remainder       io.ReadCloser // of a body longer than what is held, or nil
 	Failure    string
 	RetryAfter time.Duration
 	Replayed   bool
@@ -53,7 +53,7 @@
 const heldBody = 1 << 20
 
 // Plain runs a call and returns its final answer.
-func (d *Dispatcher) Plain(ctx context.Context, c *Call) *Answer {
+func (d *Dispatcher) Plain(ctx context.Context, c *Call) *Response {
 	x, cancel := context.WithTimeout(ctx, c.Deadline.Sub(d.o.Clock.Now()))
 	p := d.pool(c.Service.Pool)
 	l := d.begin(c.ID)
@@ -67,12 +67,12 @@
 		return givenUp(l.giveUp(), err)
 	}
 	a := p.call(x, c, l)
-	if a.Rest == nil {
+	if a.Remainder == nil {
 		leave()
 		cancel()
 		return a
 	}
-	a.Rest = &ending{ReadCloser: a.Rest, end: func() { leave(); cancel() }}
+	a.Remainder = &ending{ReadCloser: a.Remainder, end: func() { leave(); cancel() }}
 	return a
 }
 
@@ -95,8 +95,8 @@
 
 func admission(d *Dispatcher, id, workspace string, s *config.Service, size float64, deadline time.Time) admit.Request {
 	r := admit.Request{
-		ID: id, Workspace: workspace, Size: size,
-		Limits:  admit.Limits{Rate: s.Limits.RequestsPerSecond, InFlight: s.Limits.InFlight, Queue: s.Limits.Queue, Share: s.Share},
+		ID: id, Workspace: workspace, Cost: size,
+		Limits:  admit.Limits{Rate: s.Limits.RequestsPerSecond, InFlight: s.Limits.InFlight, Queue: s.Limits.Queue, Weight: s.Share},
 		MaxWait: time.Duration(s.LatencyTarget),
 	}
 	if s.Class == config.ClassBatch {
@@ -107,9 +107,9 @@
 }
 
 // givenUp is the final answer to a request that won't be tried again.
-func givenUp(o stream.Outcome, err error) *Answer {
-	a := &Answer{Outcome: o, Status: http.StatusBadGateway, Failure: err.Error(), RetryAfter: time.Second}
-	var r *Refusal
+func givenUp(o stream.Outcome, err error) *Response {
+	a := &Response{Outcome: o, Status: http.StatusBadGateway, Failure: err.Error(), RetryAfter: time.Second}
+	var r *Rejection
 	switch {
 	case o == stream.OutcomeNotRun:
 		a.Status = http.StatusServiceUnavailable
@@ -127,7 +127,7 @@
 }
 
 // call claims, if that is needed, and sends until there is a final answer.
-func (p *pool) call(ctx context.Context, c *Call, l *life) *Answer {
+func (p *pool) call(ctx context.Context, c *Call, l *life) *Response {
 	l.fire("admit")
 	if c.Claim == nil {
 		return p.send(ctx, c, l)
@@ -146,7 +146,7 @@
 	return a
 }
 
-func (p *pool) send(ctx context.Context, c *Call, l *life) *Answer {
+func (p *pool) send(ctx context.Context, c *Call, l *life) *Response {
 	tried := newTries()
 	for {
 		t, ok := p.legacy(c)
@@ -175,8 +175,8 @@
 			return givenUp(l.giveUp(), err)
 		}
 		again := p.again(tried, retry.Attempt{
-			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRefused),
-			Left: c.Deadline.Sub(p.d.o.Clock.Now()),
+			Repeatable: *c.Rule.Repeatable, MayHaveRun: !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrRejected),
+			TimeLeft: c.Deadline.Sub(p.d.o.Clock.Now()),
 		})
 		if !again || ctx.Err() != nil {
 			return givenUp(l.giveUp(), err)
@@ -190,7 +190,7 @@
 // moved at 20 per cent stays moved at 10.
 func (p *pool) legacy(c *Call) (target, bool) {
 	l := &c.Service.Legacy
-	if l.Percent <= 0 || !LegacyCaller(c.Workspace, c.Caller, l.Percent) {
+	if l.Percent <= 0 || !IsLegacyCaller(c.Workspace, c.Caller, l.Percent) {
 		return target{}, false
 	}
 	f := member.Fact{ID: "legacy:" + l.Address, Address: l.Address}
@@ -202,12 +202,12 @@
 
 // LegacyCaller tells whether a caller belongs to the share that is still served at
 // the legacy address.
-func LegacyCaller(workspace, caller string, percent float64) bool {
+func IsLegacyCaller(workspace, caller string, percent float64) bool {
 	h := route.HashID(workspace + "\x00" + caller)
 	return float64(h%10000) < percent*100
 }
 
-func (p *pool) sendOnce(ctx context.Context, c *Call, t *target) (*Answer, error) {
+func (p *pool) sendOnce(ctx context.Context, c *Call, t *target) (*Response, error) {
 	r, err := c.request(ctx, t.fact.Address)
 	if err != nil {
 		p.landed(t.fact.ID, err, false)
@@ -218,16 +218,16 @@
 		p.landed(t.fact.ID, err, ctx.Err() == nil)
 		return nil, err
 	}
-	if c.Service.Refused(s.StatusCode) {
+	if c.Service.IsRejection(s.StatusCode) {
 		_ = s.Body.Close()
-		err := upstream.Refused(s, "")
+		err := upstream.Rejected(s, "")
 		p.landed(t.fact.ID, err, false)
 		return nil, err
 	}
 	if id := s.Header.Get("X-Request-Id"); id != "" && id != c.ID {
 		_ = s.Body.Close()
-		p.landed(t.fact.ID, upstream.ErrForeign, true)
-		return nil, upstream.ErrForeign
+		p.landed(t.fact.ID, upstream.ErrRequestMismatch, true)
+		return nil, upstream.ErrRequestMismatch
 	}
 	a, err := hold(s)
 	p.landed(t.fact.ID, err, ctx.Err() == nil)
@@ -235,15 +235,15 @@
 }
 
 // hold reads an answer's body as far as it is held.
-func hold(s *http.Response) (*Answer, error) {
+func hold(s *http.Response) (*Response, error) {
 	b, err := io.ReadAll(io.LimitReader(s.Body, heldBody))
 	if err != nil {
 		_ = s.Body.Close()
 		return nil, fmt.Errorf("%w: the answer broke off: %w", lost(err), err)
 	}
-	a := &Answer{Outcome: stream.OutcomeDone, Status: s.StatusCode, Header: s.Header, Body: b}
+	a := &Response{Outcome: stream.OutcomeDone, Status: s.StatusCode, Header: s.Header, Body: b}
 	if len(b) == heldBody {
-		a.Rest = s.Body
+		a.Remainder = s.Body
 		return a, nil
 	}
 	return a, s.Body.Close()
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -29,25 +29,25 @@
 var errs = errorx.NewNamespace("dispatch")
 
 // ErrRefused says that the request was refused before anything was sent.
-var ErrRefused = errs.NewType("refused").New("refused, nothing was sent")
+var ErrRejected = errs.NewType("refused").New("refused, nothing was sent")
 
 // Refusal is ErrRefused with the time to come back at.
-type Refusal struct {
+type Rejection struct {
 	cause  string
 	after  time.Duration
 	nobody bool // it is errNobody, too
 }
 
 // Error returns the cause.
-func (r *Refusal) Error() string { return r.cause }
+func (r *Rejection) Error() string { return r.cause }
 
 // Is makes errors.Is(err, ErrRefused) hold.
-func (r *Refusal) Is(target error) bool {
-	return target == ErrRefused || r.nobody && target == errNobody //nolint:errorlint // sentinels
+func (r *Rejection) Is(target error) bool {
+	return target == ErrRejected || r.nobody && target == errNobody //nolint:errorlint // sentinels
 }
 
 // RetryAfter returns when to come back.
-func (r *Refusal) RetryAfter() time.Duration { return r.after }
+func (r *Rejection) RetryAfter() time.Duration { return r.after }
 
 // Options sets a dispatcher.
 type Options struct {
@@ -58,8 +58,8 @@
 	Table    *member.Table
 	Nodes    func() int // live nodes, this one included
 	Event    func(name, request, detail string)
-	Reaches  func(ctx context.Context, hall string) bool // the way to a hall is open
-	Urgent   func()                                      // there is something that other nodes should know at once
+	HallReachable  func(ctx context.Context, hall string) bool // the way to a hall is open
+	ExchangeSoon   func()                                      // there is something that other nodes should know at once
 	Policy   route.Policy
 	Distance time.Duration // one way, to an upstream in another hall
 }
@@ -71,12 +71,12 @@
 	mu    sync.Mutex
 	pools map[string]*pool
 
-	suspects *quarantine.Book
+	suspects *quarantine.Tracker
 }
 
 // New returns a dispatcher without pools; they come with use.
 func New(o Options) *Dispatcher {
-	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), suspects: quarantine.NewBook(o.Node)}
+	return &Dispatcher{o: o, start: o.Clock.Now(), pools: make(map[string]*pool), suspects: quarantine.NewTracker(o.Node)}
 }
 
 func (d *Dispatcher) now() time.Duration { return d.o.Clock.Since(d.start) }
@@ -94,11 +94,11 @@
 	waiting   map[string]chan bool
 	change    uint64
 	refreshed time.Duration
-	list      []member.Seen
+	list      []member.Record
 	cands     []route.Candidate
 	moving    map[string]*move // streams, by request id
-	rests     *retry.Rests     // that upstreams have asked of this node
-	turns     retry.Turns      // of callers that are turned away while all rest
+	rests     *retry.Cooldowns     // that upstreams have asked of this node
+	turns     retry.ReturnSchedule      // of callers that are turned away while all rest
 	spent     money
 	perToken  float64 // seconds, smoothed over all upstreams
 }
@@ -142,12 +142,12 @@
 			d: d, name: name,
 			router:    route.New(route.Options{Policy: d.o.Policy}),
 			outliers:  retry.NewOutliers(ejectedShare),
-			admission: admit.New(admit.Options{Reserve: liveReserve}),
+			admission: admit.New(admit.Options{BatchReserve: liveReserve}),
 			budget:    retry.NewBudget(retryShare, retryFloor),
 			flights:   make(map[string]*flight),
 			waiting:   make(map[string]chan bool),
 			moving:    make(map[string]*move),
-			rests:     retry.NewRests(),
+			rests:     retry.NewCooldowns(),
 		}
 		d.pools[name] = p
 	}
@@ -156,7 +156,7 @@
 
 // refreshLocked brings the list of upstreams and the number of slots up to date.
 func (p *pool) refreshLocked() {
-	c, now := p.d.o.Table.Upstreams(), p.d.now()
+	c, now := p.d.o.Table.UpstreamsVersion(), p.d.now()
 	if c == p.change && p.list != nil && now-p.refreshed < refreshEvery {
 		return
 	}
@@ -228,8 +228,8 @@
 	switch v.Decision {
 	case admit.DecisionRun:
 		return func() { p.leave(r.ID) }, nil
-	case admit.DecisionRefuse:
-		return nil, &Refusal{cause: string(v.Cause), after: v.RetryAfter}
+	case admit.DecisionReject:
+		return nil, &Rejection{cause: string(v.Cause), after: v.RetryAfter}
 	}
 	return p.wait(ctx, r, c)
 }
@@ -248,7 +248,7 @@
 	if started {
 		return func() { p.leave(r.ID) }, nil
 	}
-	return nil, &Refusal{cause: string(admit.CauseExpired), after: time.Second}
+	return nil, &Rejection{cause: string(admit.CauseExpired), after: time.Second}
 }
 
 // withdraw takes a request out of the queue; it may have been started meanwhile.
@@ -286,11 +286,11 @@
 	p.refreshLocked()
 	now := p.d.now()
 	at := p.d.o.Clock.Now()
-	fresh := tried.bound.Next() == retry.SearchFresh
+	fresh := tried.bound.Next() == retry.ScopeReachable
 	for i := range p.cands {
 		c, f := &p.cands[i], &p.list[i]
-		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Left(at, retry.Lifetime{ID: c.ID}) > 0
-		c.LoadAge = at.Sub(f.At)
+		c.Excluded = tried.has(c.ID) || fresh && p.outliers.Failing(c.ID) || !p.outliers.Usable(now, c.ID) || p.rests.Wait(at, retry.Incarnation{ID: c.ID}) > 0
+		c.LoadAge = at.Sub(f.ReceivedAt)
 		c.InFlight, c.SinceReport, c.Slowness = 0, 0, 0
 		if v := p.flights[c.ID]; v != nil {
 			c.InFlight = v.now
@@ -300,7 +300,7 @@
 			}
 		}
 	}
-	p.router.Weigh(s.Weights.Cost, s.Weights.Recompute)
+	p.router.SetWeights(s.Weights.Cost, s.Weights.Recompute)
 	c := p.router.Pick(prompt, p.cands)
 	if c.Index < 0 {
 		return target{}, false
@@ -334,7 +334,7 @@
 	t := d.Seconds() / float64(tokens)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.router.Learn(d)
+	p.router.ObserveService(d)
 	smooth(&p.perToken, t)
 	if v := p.flights[id]; v != nil {
 		smooth(&v.perToken, t)
@@ -380,11 +380,11 @@
 		p.budget.Success()
 		return
 	}
-	if d := upstream.RestAsked(err); d > 0 && p.rests.Ask(p.d.o.Clock.Now(), retry.Lifetime{ID: id}, d) {
+	if d := upstream.CooldownOf(err); d > 0 && p.rests.Start(p.d.o.Clock.Now(), retry.Incarnation{ID: id}, d) {
 		p.d.o.Event("upstream_rests", "", fmt.Sprintf("%s: asks for %v", id, d))
 	}
 	if !blame {
-		p.outliers.Unclear(p.d.now(), id)
+		p.outliers.Inconclusive(p.d.now(), id)
 		return
 	}
 	if p.outliers.Failure(p.d.now(), id, len(p.list)) {
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -18,15 +18,15 @@
 func (p *pool) nobody(id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.admission.Unserved(id)
-	list := make([]retry.Lifetime, len(p.list))
+	p.admission.MarkUnserved(id)
+	list := make([]retry.Incarnation, len(p.list))
 	for i := range p.list {
-		list[i] = retry.Lifetime{ID: p.list[i].ID}
+		list[i] = retry.Incarnation{ID: p.list[i].ID}
 	}
 	now, after := p.d.o.Clock.Now(), returnsAfter
-	if rest := p.rests.Soonest(now, list); rest > 0 {
-		slots, perSecond := p.admission.Room()
-		after = p.turns.Take(now, rest, slots, perSecond)
+	if rest := p.rests.ShortestWait(now, list); rest > 0 {
+		slots, perSecond := p.admission.Capacity()
+		after = p.turns.Next(now, rest, slots, perSecond)
 	}
-	return &Refusal{cause: errNobody.Error(), after: after, nobody: true}
+	return &Rejection{cause: errNobody.Error(), after: after, nobody: true}
 }
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -26,36 +26,36 @@
 }
 
 // print returns the print of a request, if upstreams have ended under some like it.
-func (d *Dispatcher) print(of func() quarantine.Request) (quarantine.Print, bool) {
-	if !d.suspects.Knows(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
-		return quarantine.Print{}, false
+func (d *Dispatcher) print(of func() quarantine.Request) (quarantine.Fingerprint, bool) {
+	if !d.suspects.HasCrashes(func() quarantine.Shape { return quarantine.ShapeOf(of()) }) {
+		return quarantine.Fingerprint{}, false
 	}
-	return quarantine.PrintOf(of()), true
+	return quarantine.FingerprintOf(of()), true
 }
 
 const heldCause = "requests like this end the upstreams that run them"
 
 // withheld refuses a request that is held back when it comes; nil: it isn't.
-func (d *Dispatcher) withheld(of func() quarantine.Request) *Refusal {
+func (d *Dispatcher) withheld(of func() quarantine.Request) *Rejection {
 	p, ok := d.print(of)
 	if !ok {
 		return nil
 	}
 	v := d.suspects.Check(d.o.Clock.Now(), p)
-	if !v.Held {
+	if !v.Quarantined {
 		return nil
 	}
-	return &Refusal{cause: heldCause, after: v.Wait}
+	return &Rejection{cause: heldCause, after: v.Wait}
 }
 
 // held is withheld for a request that has been sent.
-func (d *Dispatcher) held(of func() quarantine.Request) *Refusal {
+func (d *Dispatcher) held(of func() quarantine.Request) *Rejection {
 	p, ok := d.print(of)
 	if !ok {
 		return nil
 	}
-	if w := d.suspects.Wait(d.o.Clock.Now(), p); w > 0 {
-		return &Refusal{cause: heldCause, after: w}
+	if w := d.suspects.Remaining(d.o.Clock.Now(), p); w > 0 {
+		return &Rejection{cause: heldCause, after: w}
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 		return false
 	}
 	p, ok := d.print(of)
-	return ok && !d.suspects.Repeats(p, tried.reached)
+	return ok && !d.suspects.MayRetry(p, tried.reached)
 }
 
 // broke takes in that an attempt failed, if its upstream ended under it: it broke the
@@ -80,33 +80,33 @@
 	if v, ok := d.o.Table.Get(f.ID); !ok || v.Status != member.StatusLive {
 		return
 	}
-	if !d.o.Client.Refuses(ctx, f.Address) || !d.o.Reaches(ctx, f.Hall) {
+	if !d.o.Client.RefusesConnections(ctx, f.Address) || !d.o.HallReachable(ctx, f.Hall) {
 		return
 	}
 	now := d.o.Clock.Now()
-	p := quarantine.PrintOf(of())
+	p := quarantine.FingerprintOf(of())
 	d.o.Event("upstream_ended", "", f.ID+" under "+p.String())
-	d.changed(d.suspects.Broke(now, quarantine.End{Print: p, Upstream: f.ID, At: now}))
-	d.o.Urgent()
+	d.changed(d.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: p, Upstream: f.ID, At: now}))
+	d.o.ExchangeSoon()
 }
 
 // answered takes in that a request was answered whole.
 func (d *Dispatcher) answered(of func() quarantine.Request) {
 	if p, ok := d.print(of); ok {
-		d.changed(d.suspects.Answered(d.o.Clock.Now(), p))
+		d.changed(d.suspects.ObserveResponse(d.o.Clock.Now(), p))
 	}
 }
 
 func (d *Dispatcher) changed(list []quarantine.Change) {
 	for _, c := range list {
-		if c.Alike {
-			d.o.Event(map[bool]string{true: "shape_held", false: "shape_released"}[c.Held], "", fmt.Sprintf("shape %d, %s", c.Print.Shape(), strings.Join(c.Upstreams, " ")))
+		if c.ByShape {
+			d.o.Event(map[bool]string{true: "shape_held", false: "shape_released"}[c.Quarantined], "", fmt.Sprintf("shape %d, %s", c.Fingerprint.Shape(), strings.Join(c.Upstreams, " ")))
 			continue
 		}
-		if c.Held {
-			d.o.Event("request_held", "", c.Print.String()+" ended "+strings.Join(c.Upstreams, " "))
+		if c.Quarantined {
+			d.o.Event("request_held", "", c.Fingerprint.String()+" ended "+strings.Join(c.Upstreams, " "))
 		} else {
-			d.o.Event("request_released", "", c.Print.String())
+			d.o.Event("request_released", "", c.Fingerprint.String())
 		}
 	}
 }
@@ -114,13 +114,13 @@
 // Suspicions is what this node tells others of requests that end upstreams; nil: nothing.
 func (d *Dispatcher) Suspicions() *wire.Suspicions {
 	now := d.o.Clock.Now()
-	return d.suspects.Words(now).ToWire(now)
+	return d.suspects.BuildUpdate(now).ToWire(now)
 }
 
 // Hear takes in what another node told of them.
-func (d *Dispatcher) Hear(m *wire.Suspicions) {
+func (d *Dispatcher) ApplySuspicions(m *wire.Suspicions) {
 	now := d.o.Clock.Now()
-	d.changed(d.suspects.Hear(now, quarantine.WordsFromWire(now, m)))
+	d.changed(d.suspects.Merge(now, quarantine.UpdateFromWire(now, m)))
 }
 
 // lost is what a failure to read an answer's body means.
@@ -128,5 +128,5 @@
 	if upstream.Severed(err) {
 		return upstream.ErrSevered
 	}
-	return upstream.ErrLost
+	return upstream.ErrMayHaveRun
 }
--- a/internal/dispatch/tries.go
+++ b/internal/dispatch/tries.go
@@ -11,7 +11,7 @@
 // tries is the upstreams that a request was tried at, and whether it reached them.
 type tries struct {
 	at    map[string]bool
-	bound retry.Tries
+	bound retry.SearchLimit
 }
 
 func newTries() *tries { return &tries{at: make(map[string]bool)} }
@@ -22,9 +22,9 @@
 	missed, known := errors.Is(err, upstream.ErrNotSent), t.has(id)
 	t.at[id] = !missed
 	if missed && !known {
-		t.bound.Missed(after)
+		t.bound.RecordUnreachable(after)
 	} else {
-		t.bound.Turned()
+		t.bound.RecordReached()
 	}
 }
 
@@ -48,12 +48,12 @@
 // again tells whether another upstream may be tried, for a request that has so much time left. Tries that
 // reached none cost nothing of the budget, which keeps load from multiplying.
 func (p *pool) again(t *tries, a retry.Attempt) bool {
-	if t.bound.Next() == retry.SearchOver {
+	if t.bound.Next() == retry.ScopeNone {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a.Sent, a.Most, a.Least = t.bound.Reached(), maxAttempts, worthwhile
+	a.Sent, a.MaxSent, a.MinTimeLeft = t.bound.Reached(), maxAttempts, worthwhile
 	v, _ := retry.Decide(a, func() bool { return !t.reachedAny() || p.budget.Take(p.d.now()) })
 	return v == retry.VerdictRetry
 }
--- a/internal/dispatch/tries_test.go
+++ b/internal/dispatch/tries_test.go
@@ -15,7 +15,7 @@
 func looks(err error, id func(i int) string) int {
 	t := newTries()
 	for i := range 500 {
-		if t.bound.Next() == retry.SearchOver || t.bound.Reached() >= maxAttempts {
+		if t.bound.Next() == retry.ScopeNone || t.bound.Reached() >= maxAttempts {
 			return i
 		}
 		t.note(id(i), err, 100*time.Microsecond)
@@ -28,5 +28,5 @@
 	t.Run("one dead address that is tried over and over does", func(t *testing.T) {
 		assert.LessOrEqual(t, looks(upstream.ErrNotSent, func(int) string { return "legacy" }), maxAttempts+1)
 	})
-	t.Run("nor are more reached than before", func(t *testing.T) { assert.Equal(t, maxAttempts, looks(upstream.ErrLost, strconv.Itoa)) })
+	t.Run("nor are more reached than before", func(t *testing.T) { assert.Equal(t, maxAttempts, looks(upstream.ErrMayHaveRun, strconv.Itoa)) })
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -38,8 +38,8 @@
 	// ErrNoneLeft says that no such upstreams are to be had now.
 	ErrNoneLeft = errs.NewType("none_left").New("no such upstreams are to be had")
 	// errDoubted says that a window may have been reported with counts that nobody here knows.
-	errDoubted = errs.NewType("doubted").New("the window may have been reported before the store came back from a copy")
-	errTaken   = errs.NewType("taken").New("the counts were settled by another")
+	errMaybeReported = errs.NewType("doubted").New("the window may have been reported before the store came back from a copy")
+	errSettledElsewhere   = errs.NewType("taken").New("the counts were settled by another")
 )
 
 // Report is the usage of one window.
@@ -53,7 +53,7 @@
 type Tally struct {
 	Counts    map[string]int64
 	Processes int  // that the counts are of
-	Whole     bool // every node has been heard since the window ended
+	Complete     bool // every node has been heard since the window ended
 }
 
 // Order states how many upstreams of a service a hall should have.
@@ -83,23 +83,23 @@
 	Resign func()
 	// Window names the window of a time, End says when a window ends.
 	Window func(t time.Time) int64
-	End    func(window int64) time.Time
+	WindowEnd    func(window int64) time.Time
 	// Counts returns what is known of a window.
 	Counts func(window int64) Tally
 	// Doubted tells whether the store may have lost how a window was settled; nil: it never does.
-	Doubted func(window int64) bool
+	MaybeReported func(window int64) bool
 	// Late is how long after its end a window's report is due.
-	Late time.Duration
+	Deadline time.Duration
 }
 
 const (
-	prefix = "spurhall/usage/"
+	keyPrefix = "spurhall/usage/"
 	// wholeAfter is when a report goes out if all nodes have been heard; settledShare
 	// is the part of the time until it is due after which it goes out anyway.
-	wholeAfter   = 600 * time.Millisecond
-	settledShare = 0.55
+	completeDelay   = 600 * time.Millisecond
+	incompleteShare = 0.55
 	// lookBack is how many windows back a new holder looks for reports to repeat.
-	lookBack = 4
+	lookbackWindows = 4
 )
 
 // Reporter reports usage. It isn't safe for concurrent use.
@@ -107,12 +107,12 @@
 	o     Options
 	token int64            // of the term that done belongs to
 	done  map[int64]bool   // windows reported in this term
-	sent  map[int64]Report // as this process has settled them, in any term
+	settled  map[int64]Report // as this process has settled them, in any term
 }
 
 // NewReporter returns a reporter.
 func NewReporter(o Options) *Reporter {
-	return &Reporter{o: o, sent: make(map[int64]Report)}
+	return &Reporter{o: o, settled: make(map[int64]Report)}
 }
 
 // Step reports what is due.
@@ -127,12 +127,12 @@
 	}
 	now := r.o.Clock.Wall()
 	newest := r.o.Window(now) - 1
-	for w := newest - lookBack + 1; w <= newest; w++ {
+	for w := newest - lookbackWindows + 1; w <= newest; w++ {
 		if r.done[w] || !r.due(now, w) {
 			continue
 		}
 		err := r.report(ctx, token, w)
-		if errors.Is(err, errDoubted) {
+		if errors.Is(err, errMaybeReported) {
 			r.o.Log.Warn("usage_doubted", zap.Int64("window", w), zap.Int64("token", token))
 			err = nil
 		}
@@ -145,14 +145,14 @@
 }
 
 func (r *Reporter) due(now time.Time, w int64) bool {
-	age := now.Sub(r.o.End(w))
-	if age < wholeAfter {
+	age := now.Sub(r.o.WindowEnd(w))
+	if age < completeDelay {
 		return false
 	}
-	if r.o.Counts(w).Whole {
+	if r.o.Counts(w).Complete {
 		return true
 	}
-	return age >= time.Duration(settledShare*float64(r.o.Late))
+	return age >= time.Duration(incompleteShare*float64(r.o.Deadline))
 }
 
 func (r *Reporter) failed(w int64, err error) {
@@ -174,11 +174,11 @@
 		return err
 	}
 	r.o.Log.Info("usage_reported", zap.Int64("window", w), zap.Int64("token", token), logging.Counts("counts", v.Counts), zap.Int("processes", v.Processes),
-		zap.Duration("after_end", r.o.Clock.Wall().Sub(r.o.End(w))))
+		zap.Duration("after_end", r.o.Clock.Wall().Sub(r.o.WindowEnd(w))))
 	return nil
 }
 
-func key(w int64) string { return prefix + strconv.FormatInt(w, 10) }
+func key(w int64) string { return keyPrefix + strconv.FormatInt(w, 10) }
 
 // settle writes a window's counts to the store, or reads those that are there.
 func (r *Reporter) settle(ctx context.Context, w int64) (Report, error) {
@@ -186,19 +186,19 @@
 	if err != nil {
 		return Report{}, err
 	}
-	v, ok := r.sent[w]
+	v, ok := r.settled[w]
 	switch {
 	case ok && len(seen.Pairs) > 0:
 		return v, nil
 	case len(seen.Pairs) > 0:
 		v, err := decode(seen.Pairs[0])
 		if err == nil {
-			r.note(v)
+			r.remember(v)
 		}
 		return v, err
 	case !ok:
-		if r.o.Doubted != nil && r.o.Doubted(w) {
-			return Report{}, errDoubted
+		if r.o.MaybeReported != nil && r.o.MaybeReported(w) {
+			return Report{}, errMaybeReported
 		}
 		c := r.o.Counts(w)
 		v = Report{Window: w, Counts: maps.Clone(c.Counts), Processes: c.Processes}
@@ -208,24 +208,24 @@
 		return Report{}, err
 	}
 	t := store.Txn{If: []store.Compare{store.Absent(key(w))}, Then: []store.Op{{Kind: store.OpPut, Key: key(w), Value: b}}}
-	t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: key(w - 2*lookBack)})
+	t.Then = append(t.Then, store.Op{Kind: store.OpDelete, Key: key(w - 2*lookbackWindows)})
 	a, err := r.o.KV.Txn(ctx, t)
 	if err != nil {
 		return Report{}, err // the next step reads what became of it
 	}
 	if !a.Succeeded {
-		return Report{}, errTaken
+		return Report{}, errSettledElsewhere
 	}
-	r.note(v)
+	r.remember(v)
 	return v, nil
 }
 
 // note remembers how a window was settled, for as long as it may be looked at.
-func (r *Reporter) note(v Report) {
-	r.sent[v.Window] = v
-	for w := range r.sent {
-		if w < v.Window-2*lookBack {
-			delete(r.sent, w)
+func (r *Reporter) remember(v Report) {
+	r.settled[v.Window] = v
+	for w := range r.settled {
+		if w < v.Window-2*lookbackWindows {
+			delete(r.settled, w)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 		return v, err
 	}
 	if key(v.Window) != p.Key {
-		return v, errors.New("the report at " + p.Key + " is of another window, " + strings.TrimPrefix(key(v.Window), prefix))
+		return v, errors.New("the report at " + p.Key + " is of another window, " + strings.TrimPrefix(key(v.Window), keyPrefix))
 	}
 	return v, nil
 }
--- a/internal/edge/counted.go
+++ b/internal/edge/counted.go
@@ -57,7 +57,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range list {
-		n.usage.TakeIn(p.Node, p.Lifetime, p.Windows)
+		n.usage.Merge(p.Node, p.Lifetime, p.Windows)
 	}
 }
 
@@ -67,7 +67,7 @@
 func (v *counted) write(ctx context.Context, n *Node, token int64) {
 	now := n.clock.Wall()
 	newest := n.usage.Window(now) - 1
-	if now.Sub(n.usage.End(newest)) < countedAfter || newest <= v.window && now.Sub(v.at) < countedAgain {
+	if now.Sub(n.usage.WindowEnd(newest)) < countedAfter || newest <= v.window && now.Sub(v.at) < countedAgain {
 		return
 	}
 	list := n.processCounts(newest)
@@ -108,7 +108,7 @@
 			list = append(list, processCounts{node, lifetime, w})
 		}
 	}
-	add(n.s.Node, n.o.Lifetime, n.usage.Own())
-	n.usage.Others(add)
+	add(n.s.Node, n.o.Incarnation, n.usage.Own())
+	n.usage.EachOther(add)
 	return list
 }
--- a/internal/edge/counted_test.go
+++ b/internal/edge/counted_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	n := holder(t, kv, clock, name)
 	n.s = &Settings{Node: name}
-	n.o.Lifetime = lifetime
+	n.o.Incarnation = lifetime
 	n.usage = usage.New(name, lifetime, 5*time.Second)
 	return n
 }
@@ -39,7 +39,7 @@
 	var c counted
 	c.begin(ctx, a)
 	a.usage.Add(clock.Service().Now(), "w")
-	a.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
+	a.usage.Merge("b", "1", usage.Windows{window: {"w": 7}})
 	clock.Advance(5 * time.Second)
 	a.usage.Add(clock.Service().Now(), "w") // in the next window
 	a.lease.Resign()                        // the store's clock stands for the lease's renewals
@@ -57,12 +57,12 @@
 	assert.Equal(t, usage.Counts{"w": 8}, again.usage.Sum(window))
 	assert.Empty(t, again.usage.Sum(window+1), "windows that haven't ended aren't written")
 	t.Run("what is heard again of a process isn't counted twice", func(t *testing.T) {
-		again.usage.TakeIn("b", "1", usage.Windows{window: {"w": 7}})
+		again.usage.Merge("b", "1", usage.Windows{window: {"w": 7}})
 		assert.Equal(t, usage.Counts{"w": 8}, again.usage.Sum(window))
 	})
 	t.Run("what is to be written doesn't change under the writer", func(t *testing.T) {
 		list := again.processCounts(window)
-		again.usage.TakeIn("b", "1", usage.Windows{window: {"w": 100, "v": 1}})
+		again.usage.Merge("b", "1", usage.Windows{window: {"w": 100, "v": 1}})
 		for _, p := range list {
 			assert.NotContains(t, p.Windows[window], "v")
 		}
@@ -73,7 +73,7 @@
 		a.lease.Resign()
 		again.lease.Resign()
 		token := takeOver(t, a)
-		a.usage.TakeIn("c", "1", usage.Windows{window: {"w": 30}}) // it was cut off
+		a.usage.Merge("c", "1", usage.Windows{window: {"w": 30}}) // it was cut off
 		clock.Advance(countedAgain)
 		c.write(ctx, a, token)
 		a.lease.Resign()
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -23,10 +23,10 @@
 	var e eraTerm
 	r := duty.NewReporter(duty.Options{
 		Clock: n.clock, Log: n.log, KV: n.kv, Cloud: n.o.Cloud, Token: n.lease.Token, Resign: n.lease.Resign,
-		Window: n.usage.Window, End: n.usage.End, Counts: n.counts, Late: n.s.UsageLate,
-		Doubted: func(w int64) bool { return e.doubts(n.usage.End(w)) },
+		Window: n.usage.Window, WindowEnd: n.usage.WindowEnd, Counts: n.counts, Deadline: n.s.UsageDeadline,
+		MaybeReported: func(w int64) bool { return e.doubts(n.usage.WindowEnd(w)) },
 	})
-	n.lease.Observe(func(err error) {
+	n.lease.OnError(func(err error) {
 		if !errors.Is(err, lease.ErrTaken) {
 			_, held := n.lease.Token()
 			n.log.Info("lease_step_failed", zap.String("lease", dutyKey), zap.Bool("held", held), zap.String("cause", err.Error()))
@@ -76,7 +76,7 @@
 func (n *Node) counts(window int64) duty.Tally {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	end := n.usage.End(window)
+	end := n.usage.WindowEnd(window)
 	now, since := n.clock.Now(), n.clock.Wall().Sub(end)
 	whole := true
 	for _, p := range n.peers.peers {
@@ -84,5 +84,5 @@
 			whole = false
 		}
 	}
-	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Whole: whole}
+	return duty.Tally{Counts: n.usage.Sum(window), Processes: n.usage.Processes(window), Complete: whole}
 }
--- a/internal/edge/era.go
+++ b/internal/edge/era.go
@@ -33,7 +33,7 @@
 func (n *Node) eraRose(r era.Rise) {
 	storeEra.Set(r.To)
 	storeReturns.Add(1)
-	n.log.Warn("store_era_rose", zap.Int64("from", r.From), zap.Int64("to", r.To), zap.Int64("revision_before", r.Before))
+	n.log.Warn("store_era_rose", zap.Int64("from", r.From), zap.Int64("to", r.To), zap.Int64("revision_before", r.LastNumber))
 	now := n.clock.Now()
 	n.returned.Store(&now)
 	n.lease.Forget()
@@ -44,8 +44,8 @@
 // hearEra takes in the era of a revision that another node has told of: this one may not reach the
 // store.
 func (n *Node) hearEra(peer string, revision int64) {
-	err := n.era.Hear(era.Of(revision))
-	if err != nil && !errors.Is(err, era.ErrPast) {
+	err := n.era.Observe(era.Of(revision))
+	if err != nil && !errors.Is(err, era.ErrEarlierEra) {
 		n.log.Warn("era_unreadable", zap.String("peer", peer), zap.Int64("revision", revision), zap.String("cause", err.Error()))
 	}
 }
@@ -56,7 +56,7 @@
 	missing, upstreams := n.pools.Missing()
 	_, holder := n.lease.Token()
 	r := &wire.StoreResponse{
-		Node: n.s.Node, Era: n.era.Now(), Revision: era.Number(n.pools.Revision()), Watching: n.listReader.inTouch.Load(),
+		Node: n.s.Node, Era: n.era.Current(), Revision: era.Number(n.pools.Revision()), Watching: n.listReader.inTouch.Load(),
 		Holder: holder, Upstreams: int64(upstreams),
 	}
 	if t := n.returned.Load(); t != nil {
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -19,8 +19,8 @@
 )
 
 // erasKV is a stand-in's keys as a store that may come back from a copy.
-func erasKV(k *standin.Keys, c *era.Clock) store.KV {
-	return store.Dated(store.KV{
+func erasKV(k *standin.Keys, c *era.Tracker) store.KV {
+	return store.WithEra(store.KV{
 		Range: func(_ context.Context, key, end string) (store.RangeResult, error) { return k.Range(key, end), nil },
 		Txn:   func(_ context.Context, t store.Txn) (store.TxnResult, error) { return k.Txn(t) },
 		Grant: func(_ context.Context, d time.Duration) (int64, error) { return k.Grant(d), nil },
@@ -41,11 +41,11 @@
 func newEraNode(t *testing.T) *eraNode {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	v := &eraNode{keys: standin.NewKeys(clock.Service()), clock: clock}
-	c := era.NewClock()
-	require.NoError(t, c.Hear(1))
+	c := era.NewTracker()
+	require.NoError(t, c.Observe(1))
 	v.Node = holder(t, erasKV(v.keys, c), clock.Service(), "a")
 	v.Node.era, v.Node.s = c, &Settings{Node: "a"}
-	v.Node.suspects = quarantine.NewBook("a")
+	v.Node.suspects = quarantine.NewTracker("a")
 	c.OnRise(func(era.Rise) { v.Node.lease.Forget() })
 	return v
 }
@@ -54,7 +54,7 @@
 func (v *eraNode) giveBack(t *testing.T, c *standin.Copy) int64 {
 	t.Helper()
 	v.keys.Return(c)
-	require.NoError(t, v.Node.era.Hear(v.Node.era.Now()+1))
+	require.NoError(t, v.Node.era.Observe(v.Node.era.Current()+1))
 	return takeOver(t, v.Node)
 }
 
@@ -81,8 +81,8 @@
 	token := takeOver(t, n.Node)
 	copied := n.keys.Copy()
 	now := n.clock.Service().Now()
-	for i := range quarantine.Proof {
-		n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: string(rune('a' + i)), At: now})
+	for i := range quarantine.CrashThreshold {
+		n.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: deadlyPrint, Upstream: string(rune('a' + i)), At: now})
 	}
 	var q heldRequests
 	q.write(ctx, n.Node, token)
@@ -108,7 +108,7 @@
 			v.begin(ctx, n.Node)
 			v.write(ctx, n.Node, token, copied)
 			c := n.keys.Copy()
-			n.pools.Recall("llm", now)
+			n.pools.RestoreEngine("llm", now)
 			v.write(ctx, n.Node, token, n.pools.Learned())
 			token = n.giveBack(t, c)
 			v.begin(ctx, n.Node)
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -90,7 +90,7 @@
 
 // watchersAt is watchers. The node's lock is held.
 func (n *Node) watchersAt(now time.Time) []string {
-	silent := pair.Silent(n.peers.size())
+	silent := pair.UnresponsiveAfter(n.peers.size())
 	heard, served := map[string]float64{n.s.Node: n.s.Cores}, map[string]float64{}
 	if n.guard.Up() {
 		served[n.s.Node] = n.s.Cores
@@ -107,7 +107,7 @@
 	if len(served) == 0 {
 		served = heard
 	}
-	names := relay.Order(served)
+	names := relay.RankNodes(served)
 	return names[:min(len(names), watchersAHall)]
 }
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	m := a.Msg
-	if !m.Watching || m.HasList && m.ListRevision < n.pools.Change() {
+	if !m.Watching || m.HasList && m.ListRevision < n.pools.LastChange() {
 		return errNoNews
 	}
 	n.followed()
@@ -253,14 +253,14 @@
 // newsFor is what an asker lacks of this node's list, which has that sequence at least, and
 // of its configuration.
 func (n *Node) newsFor(r *wire.FollowRequest, sequence int64) *wire.FollowResponse {
-	a := &wire.FollowResponse{Watching: n.catalogReader.inTouch.Load() && n.listReader.inTouch.Load(), Lifetime: n.o.Lifetime, ListSequence: sequence}
+	a := &wire.FollowResponse{Watching: n.catalogReader.inTouch.Load() && n.listReader.inTouch.Load(), Lifetime: n.o.Incarnation, ListSequence: sequence}
 	if !a.Watching {
 		return a
 	}
 	if h := n.catalog.Load(); h != nil && h.catalog.Version() > r.CatalogVersion {
 		a.Catalog = h.raw
 	}
-	if r.Lifetime == n.o.Lifetime && r.ListSequence == sequence {
+	if r.Lifetime == n.o.Incarnation && r.ListSequence == sequence {
 		return a
 	}
 	a.HasList, a.ListRevision = true, n.pools.Revision()
--- a/internal/edge/heard.go
+++ b/internal/edge/heard.go
@@ -16,20 +16,20 @@
 
 // heard takes in one answer, to what was sent at a time. Who has the address of another upstream doesn't speak for that one.
 // While the store is away, an answer is the only word of an upstream that leaves.
-func (n *Node) heard(e pool.Entry, v call.Answer, sent time.Time) {
+func (n *Node) heard(e pool.Entry, v call.Response, sent time.Time) {
 	if v.Misplaced {
 		return
 	}
 	if v.Leaving && !n.pools.Leaving(e) {
-		n.update("answer", func(_ time.Time, l *pool.List) { l.Leave(e) })
+		n.update("answer", func(_ time.Time, l *pool.List) { l.MarkLeaving(e) })
 	}
-	if v.Rest > 0 && n.pools.Rest(e, v.Rest) {
+	if v.Cooldown > 0 && n.pools.StartCooldown(e, v.Cooldown) {
 		upstreamEvents.Add("rests", 1)
-		n.log.Info("upstream_rests", zap.String("upstream", e.ID), zap.String("service", e.Service), zap.Int64("born", e.Born), zap.Duration("for", v.Rest))
+		n.log.Info("upstream_rests", zap.String("upstream", e.ID), zap.String("service", e.Service), zap.Int64("born", e.Born), zap.Duration("for", v.Cooldown))
 	}
-	n.noteUnread(e, v.Unread)
-	if n.pools.HearLimit(e, v.Limit, sent) {
-		n.noteLimit("answer", limit.Word{Of: e.Lifetime(), Rate: v.Limit.Rate, Lifted: v.Limit.Word == call.LimitNone})
+	n.noteUnread(e, v.UnknownHeaders)
+	if n.pools.ObserveLimit(e, v.Limit, sent) {
+		n.noteLimit("answer", limit.Observation{Upstream: e.Incarnation(), Rate: v.Limit.Rate, Lifted: v.Limit.Status == call.LimitNone})
 	}
 }
 
--- a/internal/edge/heard_test.go
+++ b/internal/edge/heard_test.go
@@ -24,17 +24,17 @@
 func TestNoAnswerSaysNothing(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
 	n := New(Options{
-		Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock(),
-		Cached: func(context.Context, string) ([]call.Part, call.Answer, error) {
-			return nil, call.Answer{}, fault.Because(store.ErrUnknown, "connection refused")
+		Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker(),
+		FetchCachedParts: func(context.Context, string) ([]call.Part, call.Response, error) {
+			return nil, call.Response{}, fault.Because(store.ErrUnknown, "connection refused")
 		},
 	})
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
-	n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, n.start)
+	n.pools.ObserveLimit(e, call.Limit{Status: call.LimitNamed, Rate: 1}, n.start)
 	c.Advance(time.Second)
 	sent := c.Service().Now()
-	_, said, _ := n.o.Cached(t.Context(), e.Address)
+	_, said, _ := n.o.FetchCachedParts(t.Context(), e.Address)
 	n.heard(e, said, sent)
 	assert.Len(t, n.pools.Limits(), 1)
 	assert.False(t, n.pools.Limits()[0].Lifted)
@@ -43,7 +43,7 @@
 // TestUpstreamsAreShown: what operators are told of an upstream is what the node goes by.
 func TestUpstreamsAreShown(t *testing.T) {
 	c := timer.NewManual(time.Unix(1_700_000_000, 0))
-	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+	n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 	for _, id := range []string{"a", "b", "c"} {
 		n.pools.Update(func(l *pool.List) {
 			l.Put(pool.Item{Entry: pool.Entry{ID: id, Service: "s", Address: "10.0.0.1:1", Hall: "h", Born: 5}, Revision: 1})
@@ -51,9 +51,9 @@
 	}
 	e := n.pools.Items()[0].Entry
 	e.ID = "a"
-	n.heard(e, call.Answer{Limit: call.Limit{Word: call.LimitNamed, Rate: 3}, Rest: time.Second}, c.Service().Now())
+	n.heard(e, call.Response{Limit: call.Limit{Status: call.LimitNamed, Rate: 3}, Cooldown: time.Second}, c.Service().Now())
 	e.ID = "b"
-	n.heard(e, call.Answer{Leaving: true, Limit: call.Limit{Word: call.LimitNone}}, c.Service().Now())
+	n.heard(e, call.Response{Leaving: true, Limit: call.Limit{Status: call.LimitNone}}, c.Service().Now())
 	c.Advance(400 * time.Millisecond)
 	a, err := (&edgeService{n: n}).Upstreams(t.Context(), connect.NewRequest(&wire.UpstreamsRequest{Service: "s"}))
 	require.NoError(t, err)
--- a/internal/edge/learned.go
+++ b/internal/edge/learned.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for s, e := range v.written {
-		n.pools.Recall(s, e)
+		n.pools.RestoreEngine(s, e)
 		n.log.Info("learned_found", zap.String("service", s), zap.Float64("reading", hundredths(e.Reading)),
 			zap.Float64("first_ms", hundredths(e.First)), zap.Float64("token_ms", hundredths(e.Token)))
 	}
--- a/internal/edge/levels.go
+++ b/internal/edge/levels.go
@@ -84,7 +84,7 @@
 	now := n.clock.Now()
 	age := now.Sub(n.clock.At(time.UnixMilli(v.At)))
 	n.mu.Lock()
-	taken := n.quotas.Recall(now, max(0, age), levelsEvery, v.Levels)
+	taken := n.quotas.Restore(now, max(0, age), levelsEvery, v.Levels)
 	n.mu.Unlock()
 	n.log.Info("levels_found", zap.Duration("age", age), zap.Int("workspaces", len(v.Levels)), zap.Bool("taken", taken))
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -19,14 +19,14 @@
 
 // hearLimits takes in what another node knows.
 func (n *Node) hearLimits(m []*wire.Limited, source string) {
-	for _, w := range n.pools.TakeLimits(message.LimitsFromWire(n.clock.Now(), m)) {
+	for _, w := range n.pools.ApplyLimits(message.LimitsFromWire(n.clock.Now(), m)) {
 		n.noteLimit(source, w)
 	}
 }
 
 // noteLimit tells that a limit is named, changed or lifted, and who said so.
-func (n *Node) noteLimit(source string, w limit.Word) {
-	f := []zap.Field{zap.String("upstream", w.Of.ID), zap.Int64("born", w.Of.Born), zap.String("source", source)}
+func (n *Node) noteLimit(source string, w limit.Observation) {
+	f := []zap.Field{zap.String("upstream", w.Upstream.ID), zap.Int64("born", w.Upstream.Born), zap.String("source", source)}
 	if w.Lifted {
 		upstreamEvents.Add("limits_lifted", 1)
 		n.log.Info("limit_lifted", f...)
@@ -54,7 +54,7 @@
 		}
 	}
 	slices.Sort(nodes)
-	if pair.Every(n.peers.size()) > pair.Round {
+	if pair.Interval(n.peers.size()) > pair.Round {
 		placers = n.relays(now, relay.Active)
 	}
 	n.pools.SetSenders(nodes, placers)
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -21,16 +21,16 @@
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	begin := func() (*Node, *timer.Manual) {
 		c := timer.NewManual(time.Unix(1_700_000_000, 0))
-		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+		n := New(Options{Settings: &Settings{Node: "n", Hall: "h", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: "n", Clock: c.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 		n.pools.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
-		n.pools.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 40}, n.start)
+		n.pools.ObserveLimit(e, call.Limit{Status: call.LimitNamed, Rate: 40}, n.start)
 		return n, c
 	}
 	// sends tells whether the node sends anything there in some rounds.
 	sends := func(n *Node, c *timer.Manual, rounds int) bool {
 		for range rounds {
 			n.shareLimits(c.Service().Now())
-			if n.pools.Ask(e) {
+			if n.pools.AllowQuery(e) {
 				return true
 			}
 			c.Advance(pair.Round)
@@ -44,9 +44,9 @@
 	})
 	t.Run("before the first round, either", func(t *testing.T) {
 		n, c := begin()
-		assert.False(t, n.pools.Ask(e))
+		assert.False(t, n.pools.AllowQuery(e))
 		c.Advance(pair.Round - time.Millisecond)
-		assert.False(t, n.pools.Ask(e))
+		assert.False(t, n.pools.AllowQuery(e))
 	})
 	t.Run("but one that has read the registry", func(t *testing.T) {
 		n, c := begin()
--- a/internal/edge/members.go
+++ b/internal/edge/members.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return 0, err
 	}
-	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Lifetime, Hall: n.s.Hall, Cores: n.s.Cores})
+	b, err := json.Marshal(memberValue{Address: n.s.Peers, Lifetime: n.o.Incarnation, Hall: n.s.Hall, Cores: n.s.Cores})
 	if err != nil {
 		return 0, err
 	}
@@ -96,7 +96,7 @@
 		return // nothing is known of it
 	}
 	var v memberValue
-	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Lifetime {
+	if err := json.Unmarshal(r.Pairs[0].Value, &v); err != nil || v.Lifetime == n.o.Incarnation {
 		return
 	}
 	n.log.Warn("previous_killed", zap.String("lifetime", v.Lifetime), zap.Int64("registered_at", r.Pairs[0].Modified))
@@ -124,7 +124,7 @@
 		}
 	}
 	n.clock.Every(ctx, memberLook, func(time.Time) {
-		if err := n.lookOnce(ctx, n.kv.Glance); err != nil {
+		if err := n.lookOnce(ctx, n.kv.StaleRange); err != nil {
 			n.log.Debug("registry_unread", zap.String("cause", err.Error()))
 		}
 	})
@@ -142,7 +142,7 @@
 		n.listMember(now, p)
 	}
 	for name, p := range n.peers.peers {
-		if now.Sub(p.heard) > max(memberGone, pair.Silent(n.peers.size())) && now.Sub(p.listed) > memberGone {
+		if now.Sub(p.heard) > max(memberGone, pair.UnresponsiveAfter(n.peers.size())) && now.Sub(p.listed) > memberGone {
 			delete(n.peers.peers, name)
 			n.notePeer("peer_gone", zap.String("peer", name), zap.Duration("silent", now.Sub(p.heard)))
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	known := n.peers.peers[name]
-	if known != nil && now.Sub(known.heard) <= pair.Silent(n.peers.size()) {
+	if known != nil && now.Sub(known.heard) <= pair.UnresponsiveAfter(n.peers.size()) {
 		known.listed = now // what it says itself is newer than a stale read
 		return
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -48,11 +48,11 @@
 // of its names.
 type Options struct {
 	Settings *Settings
-	Lifetime string // unique for this process
+	Incarnation string // unique for this process
 	Clock    *timer.Service
 	Log      *zap.Logger
 	KV       store.KV
-	Era      *era.Clock // hears of each answer of KV before it is returned
+	Era      *era.Tracker // hears of each answer of KV before it is returned
 	Cloud    duty.Cloud
 	Dialect  call.Dialect
 	// CatalogKey and EntryPrefix are where the store keeps the configuration and the
@@ -69,7 +69,7 @@
 	DecodeCatalog func(b []byte) (*catalog.Catalog, error)
 	DecodeEntry   func(key string, value []byte) (pool.Entry, error)
 	// Cached asks the engine at an address which prompt parts it has cached; nil: none can.
-	Cached func(ctx context.Context, address string) ([]call.Part, call.Answer, error)
+	FetchCachedParts func(ctx context.Context, address string) ([]call.Part, call.Response, error)
 }
 
 // Node is one entry VM's process.
@@ -81,11 +81,11 @@
 	start    time.Time
 	guard    *store.Guard
 	kv       store.KV
-	era      *era.Clock
+	era      *era.Tracker
 	pools    *pool.Pools
-	lines    *forward.Lines
+	lines    *forward.Connections
 	front    *forward.Server
-	suspects *quarantine.Book // requests that end upstreams
+	suspects *quarantine.Tracker // requests that end upstreams
 	lease    *lease.Lease
 
 	catalogReader *follower
@@ -107,10 +107,10 @@
 	repeats map[string]*retry.Window
 	shared  time.Time // when the quotas' present span began
 	looked  bool      // the registry of the nodes has been read
-	usage   *usage.Book
+	usage   *usage.Tracker
 	peers   *table
 	notes   notes
-	book    *relay.Book     // what this node knows as a relay
+	book    *relay.Aggregator     // what this node knows as a relay
 	view    relay.View      // what it knows by its relay
 	home    string          // the relay that it reports to
 	relayed time.Time       // when the last digest came
@@ -145,12 +145,12 @@
 	n := &Node{o: o, s: s, clock: o.Clock, log: o.Log, start: o.Clock.Now(), known: make(chan struct{}), repeats: make(map[string]*retry.Window)}
 	n.pools = pool.New(o.Clock, s.Node, s.Hall)
 	n.pools.SetSenders(nil, nil) // until the other nodes are known
-	n.lines = forward.NewLines(o.Clock)
+	n.lines = forward.NewConnections(o.Clock)
 	n.quotas = quota.New(n.start, s.FirstStart)
-	n.usage = usage.New(s.Node, o.Lifetime, s.UsageWindow)
+	n.usage = usage.New(s.Node, o.Incarnation, s.UsageWindow)
 	n.peers = newTable(n)
-	n.book = relay.NewBook(s.Node, o.Lifetime)
-	n.suspects = quarantine.NewBook(s.Node)
+	n.book = relay.NewAggregator(s.Node, o.Incarnation)
+	n.suspects = quarantine.NewTracker(s.Node)
 	n.rollouts = newRollouts()
 	n.catalogReader = n.catalogFollower()
 	n.listReader = n.listFollower()
@@ -159,12 +159,12 @@
 	n.guard = store.NewGuard(o.Clock, n.share())
 	n.era = o.Era
 	n.era.OnRise(n.eraRose)
-	n.kv = n.guard.Wrap(store.Dated(o.KV, o.Era))
-	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.Lease, s.Store.MinLease))
+	n.kv = n.guard.Wrap(store.WithEra(o.KV, o.Era))
+	n.lease = lease.New(n.kv, o.Clock, dutyKey, s.Node, max(s.LeaseTTL, s.Store.MinLease))
 	n.front = forward.NewServer(forward.Options{
-		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Lines: n.lines, Known: n.known, Catalog: n.current,
-		Place: n.place, Charge: n.charge, Refund: n.refund, Began: n.began, First: n.first, Repeat: n.repeat, Heard: n.heard, Phase: n.stopPhase, Suspects: n.suspects, Reaches: n.reaches,
-		Trials: forward.Trials{Offer: n.offer, Return: n.unoffer, Note: n.noteAnswer, Moves: n.moves},
+		Clock: o.Clock, Log: o.Log, Dialect: o.Dialect, Pools: n.pools, Connections: n.lines, Ready: n.known, Catalog: n.current,
+		Place: n.place, Charge: n.charge, Refund: n.refund, CountStarted: n.began, RecordFirstAttempt: n.first, AllowRetry: n.repeat, ObserveResponse: n.heard, Phase: n.stopPhase, Quarantine: n.suspects, HallReachable: n.reaches,
+		Trials: forward.Trials{Offer: n.offer, Return: n.unoffer, Record: n.noteAnswer, ShouldMove: n.moves},
 	})
 	return n
 }
@@ -172,7 +172,7 @@
 // share is this node's part of the store's rates.
 func (n *Node) share() store.GuardOptions {
 	k := float64(n.peers.size())
-	return store.GuardOptions{Reads: n.s.Store.Reads / k, Writes: n.s.Store.Writes / k, Backoff: storeBackoff}
+	return store.GuardOptions{Reads: n.s.Store.Reads / k, Writes: n.s.Store.Writes / k, MaxBackoff: storeBackoff}
 }
 
 func (n *Node) current() *catalog.Catalog {
@@ -212,7 +212,7 @@
 	n.quotas.SetLimits(n.clock.Now(), limits)
 	for _, name := range c.Services() {
 		if e := c.Service(name).Engine; e != nil {
-			n.pools.SetSize(name, capacity.Size{Slots: e.Slots, Memory: float64(e.CacheTokens), Fetch: e.FetchTokens})
+			n.pools.SetSize(name, capacity.Size{Slots: e.Slots, Memory: float64(e.CacheTokens), Fetch: e.FetchTokensPerMs})
 		}
 	}
 	catalogVersion.Set(c.Version())
--- a/internal/edge/notes.go
+++ b/internal/edge/notes.go
@@ -20,7 +20,7 @@
 
 // notePeer logs an event of another node, or counts it. The node's lock is held.
 func (n *Node) notePeer(event string, fields ...zap.Field) {
-	if n.notes.teller || pair.Every(n.peers.size()) == pair.Round {
+	if n.notes.teller || pair.Interval(n.peers.size()) == pair.Round {
 		n.log.Info(event, fields...)
 		return
 	}
--- a/internal/edge/ordered.go
+++ b/internal/edge/ordered.go
@@ -29,7 +29,7 @@
 	if c := n.current(); c != nil {
 		for _, name := range c.Services() {
 			if s := c.Service(name).Scaling; s != nil {
-				boot = max(boot, s.Boot)
+				boot = max(boot, s.BootTime)
 			}
 		}
 	}
--- a/internal/edge/ordered_test.go
+++ b/internal/edge/ordered_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	n := &Node{kv: kv, clock: clock, log: zap.NewNop(), start: clock.Now()}
 	n.lease = lease.New(kv, clock, dutyKey, name, 3*time.Second)
-	c, err := catalog.New(catalog.Spec{Version: 1, Services: []catalog.ServiceSpec{{Name: "llm", Scaling: &catalog.ScalingSpec{Boot: 4 * time.Second}}}})
+	c, err := catalog.New(catalog.Spec{Version: 1, Services: []catalog.ServiceSpec{{Name: "llm", Scaling: &catalog.ScalingSpec{BootTime: 4 * time.Second}}}})
 	require.NoError(t, err)
 	n.catalog.Store(&held{catalog: c})
 	return n
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -53,8 +53,8 @@
 
 type orderer struct {
 	n       *Node
-	mixes   map[string]*autoscale.Mix
-	rates   map[string]*autoscale.Rate
+	mixes   map[string]*autoscale.MixPlanner
+	rates   map[string]*autoscale.RateEstimator
 	orders  map[subject]placed
 	token   int64 // of the term that the orders belong to
 	known   ordered
@@ -64,7 +64,7 @@
 }
 
 func newOrderer(n *Node) *orderer {
-	return &orderer{n: n, mixes: make(map[string]*autoscale.Mix), rates: make(map[string]*autoscale.Rate), orders: make(map[subject]placed)}
+	return &orderer{n: n, mixes: make(map[string]*autoscale.MixPlanner), rates: make(map[string]*autoscale.RateEstimator), orders: make(map[subject]placed)}
 }
 
 // step measures, and orders what is missing.
@@ -92,7 +92,7 @@
 		if e := o.n.pools.Engine(name); e.Known() {
 			engines[name] = e
 		}
-		load := o.rate(name).Take(now, o.n.workSums(now, name), o.n.silence())
+		load := o.rate(name).Estimate(now, o.n.workSums(now, name), o.n.silence())
 		publish(name, engines[name], load)
 		halls := o.halls(s)
 		o.mix(s).Observe(o.n.clock.Since(o.n.start), load, halls)
@@ -119,23 +119,23 @@
 	return now.Sub(o.n.start) >= orderSettle && now.Sub(o.grown) >= orderQuiet
 }
 
-func (o *orderer) rate(service string) *autoscale.Rate {
+func (o *orderer) rate(service string) *autoscale.RateEstimator {
 	r := o.rates[service]
 	if r == nil {
-		r = &autoscale.Rate{}
+		r = &autoscale.RateEstimator{}
 		o.rates[service] = r
 	}
 	return r
 }
 
 // workSums is what each node has sent to a service's engines since it began.
-func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Sum {
-	sums := map[string]autoscale.Sum{n.s.Node: {Value: n.pools.Work()[service], At: now}}
+func (n *Node) workSums(now time.Time, service string) map[string]autoscale.Counter {
+	sums := map[string]autoscale.Counter{n.s.Node: {Value: n.pools.Work()[service], ReceivedAt: now}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, p := range n.peers.peers {
 		if p.work != nil {
-			sums[name] = autoscale.Sum{Value: p.work[service], At: p.heard}
+			sums[name] = autoscale.Counter{Value: p.work[service], ReceivedAt: p.heard}
 		}
 	}
 	return sums
@@ -145,15 +145,15 @@
 func (n *Node) silence() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return pair.Silent(n.peers.size())
+	return pair.UnresponsiveAfter(n.peers.size())
 }
 
-func (o *orderer) mix(s *catalog.ServiceSpec) *autoscale.Mix {
+func (o *orderer) mix(s *catalog.ServiceSpec) *autoscale.MixPlanner {
 	m := o.mixes[s.Name]
 	if m == nil {
-		v := autoscale.MixDefaults(s.Scaling.Boot)
-		v.Fresh = o.n.s.FirstStart
-		m = autoscale.NewMix(v)
+		v := autoscale.DefaultMixOptions(s.Scaling.BootTime)
+		v.FirstStart = o.n.s.FirstStart
+		m = autoscale.NewMixPlanner(v)
 		o.mixes[s.Name] = m
 	}
 	return m
@@ -233,7 +233,7 @@
 }
 
 // want orders a count if it changed, or if the hall doesn't have it for a while.
-func (o *orderer) want(ctx context.Context, token int64, m *autoscale.Mix, s subject, count int, have map[subject]int, load capacity.Work) {
+func (o *orderer) want(ctx context.Context, token int64, m *autoscale.MixPlanner, s subject, count int, have map[subject]int, load capacity.Work) {
 	now := o.n.clock.Now()
 	count = max(count, o.known.least(now, s))
 	if o.n.rollingOut(s.service) {
@@ -269,8 +269,8 @@
 	}
 	e := o.n.pools.Engine(s.service)
 	o.n.log.Info("order", zap.String("service", s.service), zap.String("hall", s.hall), zap.Bool("reclaimable", s.reclaimable), zap.Int("count", count),
-		zap.Int("have", have[s]), zap.Float64("load", hundredths(load.Reading)), zap.Float64("slots", hundredths(load.Slots)), zap.Float64("memory", hundredths(load.Memory)),
-		zap.Stringer("binds", m.Binds()), zap.Float64("reading", hundredths(e.Reading)), zap.Float64("first_ms", hundredths(e.First)), zap.Float64("token_ms", hundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
+		zap.Int("have", have[s]), zap.Float64("load", hundredths(load.Prefill)), zap.Float64("slots", hundredths(load.Slots)), zap.Float64("memory", hundredths(load.Memory)),
+		zap.Stringer("binds", m.BindingResource()), zap.Float64("reading", hundredths(e.Reading)), zap.Float64("first_ms", hundredths(e.First)), zap.Float64("token_ms", hundredths(e.Token)), zap.Int("samples", e.Samples), zap.Int64("token", token), zap.String("outcome", outcome))
 }
 
 // engineFigures is what is known of engines and what comes, by service.
@@ -285,7 +285,7 @@
 	}
 	for name, x := range map[string]float64{
 		"reading": e.Reading, "first_ms": e.First, "token_ms": e.Token, "samples": float64(e.Samples),
-		"load_reading": load.Reading, "load_slots": load.Slots, "load_memory": load.Memory,
+		"load_reading": load.Prefill, "load_slots": load.Slots, "load_memory": load.Memory,
 	} {
 		f, ok := v.Get(name).(*expvar.Float)
 		if !ok {
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -36,10 +36,10 @@
 }
 
 // unreached is what several other nodes of the hall couldn't reach.
-func unreached(ids ...string) pool.Reach {
-	var r pool.Reach
+func unreached(ids ...string) pool.Reachability {
+	var r pool.Reachability
 	for _, id := range ids {
-		r.Unreached = append(r.Unreached, pool.Unreached{Upstream: id, Nodes: 3, Age: 50 * time.Millisecond})
+		r.Unreachable = append(r.Unreachable, pool.UnreachableUpstream{Upstream: id, Nodes: 3, Age: 50 * time.Millisecond})
 	}
 	return r
 }
@@ -52,15 +52,15 @@
 	o := listing(clock.Service())
 	assert.Equal(t, 2, hallOf(o, "a").Reclaimable)
 	r := unreached("a1", "a2")
-	r.Answered = map[string]time.Duration{"a": 100 * time.Millisecond}
-	o.n.pools.TakeReach(r)
+	r.LastResponse = map[string]time.Duration{"a": 100 * time.Millisecond}
+	o.n.pools.ApplyReachability(r)
 	clock.Advance(2 * time.Second)
 	assert.Equal(t, 0, hallOf(o, "a").Reclaimable)
 	assert.Equal(t, 2, hallOf(o, "a").Leaving)
 	assert.Equal(t, 2, hallOf(o, "b").Reclaimable)
 	t.Run("but in a hall that is cut off", func(t *testing.T) {
 		o := listing(clock.Service())
-		o.n.pools.TakeReach(unreached("b1", "b2"))
+		o.n.pools.ApplyReachability(unreached("b1", "b2"))
 		clock.Advance(2 * time.Second)
 		assert.Equal(t, 2, hallOf(o, "b").Reclaimable)
 	})
@@ -77,7 +77,7 @@
 	o.n.beginTrial(rollout.Order{Service: "s", Target: "v2", Duration: time.Minute, Revision: 7}, "test")
 	assert.Equal(t, 2, hallOf(o, "a").Reclaimable)
 	assert.True(t, o.n.rollingOut("s"), "none is let go before the end")
-	o.n.rollouts.trials["s"].Raise(clock.Service().Now(), rollout.StageCompleted)
+	o.n.rollouts.trials["s"].AdvanceTo(clock.Service().Now(), rollout.StageCompleted)
 	assert.Equal(t, 1, hallOf(o, "a").Reclaimable)
 	assert.False(t, o.n.rollingOut("s"))
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -52,8 +52,8 @@
 	version  int64                  // of its catalog
 	revision int64                  // of its upstream list
 	work     map[string]capacity.Work
-	trials   []rollout.Word
-	reach    pool.Reach
+	trials   []rollout.Update
+	reach    pool.Reachability
 	relaying relaying
 }
 
@@ -106,7 +106,7 @@
 
 // pair returns what a pair's reports go through.
 func (t *table) pair(p *peer) wireconnect.EdgeClient {
-	if pair.Every(t.size()) > keepPairs {
+	if pair.Interval(t.size()) > keepPairs {
 		return p.seldom
 	}
 	return p.client
@@ -114,9 +114,9 @@
 
 // due returns the nodes to call in this round.
 func (t *table) due(now time.Time) []*peer {
-	others := make([]pair.Other, 0, len(t.peers))
+	others := make([]pair.Peer, 0, len(t.peers))
 	for _, p := range t.peers {
-		others = append(others, pair.Other{Name: p.name, Heard: p.heard, Called: p.called, Busy: p.busy})
+		others = append(others, pair.Peer{Name: p.name, LastSeen: p.heard, LastCalled: p.called, Busy: p.busy})
 	}
 	var list []*peer
 	for _, name := range pair.Due(now, t.n.s.Node, others) {
@@ -146,7 +146,7 @@
 	n.shareQuotas(now)
 	n.guard.SetRates(n.share())
 	n.usage.Forget(n.clock.Wall())
-	heard, silent := 0, pair.Silent(n.peers.size())
+	heard, silent := 0, pair.UnresponsiveAfter(n.peers.size())
 	for _, p := range n.peers.peers {
 		if now.Sub(p.heard) <= silent {
 			heard++
@@ -184,11 +184,11 @@
 
 // hallReach is what the other nodes of this hall have told of whom they couldn't reach. The
 // node's lock is held.
-func (n *Node) hallReach(now time.Time) pool.Reach {
-	var sum pool.Reach
+func (n *Node) hallReach(now time.Time) pool.Reachability {
+	var sum pool.Reachability
 	for _, p := range n.peers.peers {
 		if p.hall == n.s.Hall {
-			sum = sum.Plus(p.reach, now.Sub(p.heard))
+			sum = sum.Merge(p.reach, now.Sub(p.heard))
 		}
 	}
 	return sum
@@ -203,7 +203,7 @@
 	if n.knowsOthers(now) {
 		n.quotas.SetPeers(now, n.peers.names())
 	}
-	every, lag := pair.Every(n.peers.size()), time.Duration(0)
+	every, lag := pair.Interval(n.peers.size()), time.Duration(0)
 	if now.Sub(n.relayed) <= relayedFor {
 		every, lag = min(every, relaySpan), relayLag
 	}
@@ -211,7 +211,7 @@
 		return
 	}
 	n.shared = now
-	n.quotas.Round(now, every, lag)
+	n.quotas.StartRound(now, every, lag)
 }
 
 // tell swaps reports with one node.
@@ -241,16 +241,16 @@
 func (n *Node) report(windows int64) *wire.NodeReport {
 	loads, placed := n.pools.Report()
 	r := &wire.NodeReport{
-		Node: n.s.Node, Lifetime: n.o.Lifetime, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.Change(),
+		Node: n.s.Node, Lifetime: n.o.Incarnation, Address: n.s.Peers, ListRevision: n.pools.Revision(), ListChange: n.pools.LastChange(),
 		UptimeMs: n.clock.Since(n.start).Milliseconds(), StoreUp: n.guard.Up(), Leaving: n.isLeaving(), Hall: n.s.Hall, Cores: n.s.Cores,
 	}
 	if h := n.catalog.Load(); h != nil {
 		r.CatalogVersion = h.catalog.Version()
 	}
-	r.Reach = message.ReachToWire(n.pools.Reach())
+	r.Reach = message.ReachToWire(n.pools.Reachability())
 	r.Suspicions = n.suspicions()
 	r.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
-	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacedToWire(placed)
+	r.Loads, r.Placed = message.LoadsToWire(loads), message.PlacementsToWire(placed)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers.sequence++
@@ -259,7 +259,7 @@
 	r.Trials = message.TrialsToWire(n.words())
 	r.Started = message.StartedToWire(n.newest(n.usage.Own(), windows))
 	for v, w := range n.pools.Work() {
-		r.Work = append(r.Work, &wire.Work{Service: v, Reading: w.Reading, Slots: w.Slots, Memory: w.Memory})
+		r.Work = append(r.Work, &wire.Work{Service: v, Reading: w.Prefill, Slots: w.Slots, Memory: w.Memory})
 	}
 	for v, e := range n.pools.Learned() {
 		r.Engines = append(r.Engines, &wire.Engine{Service: v, Reading: e.Reading, First: e.First, Token: e.Token, Samples: int32(e.Samples)})
@@ -293,7 +293,7 @@
 	for _, v := range r.Engines {
 		engines[v.Service] = capacity.Engine{Reading: v.Reading, First: v.First, Token: v.Token, Samples: int(v.Samples)}
 	}
-	n.pools.TakeIn(r.Node, message.LoadsFromWire(r.Loads), message.PlacedFromWire(r.Placed), engines)
+	n.pools.ApplyReport(r.Node, message.LoadsFromWire(r.Loads), message.PlacementsFromWire(r.Placed), engines)
 	n.noteChange(r.Node, r.ListChange)
 	n.catchUp(ctx, r)
 }
@@ -307,7 +307,7 @@
 	if p.lifetime == r.Lifetime && r.Sequence <= p.sequence {
 		return false
 	}
-	if p.lifetime != r.Lifetime || now.Sub(p.heard) > pair.Silent(n.peers.size()) {
+	if p.lifetime != r.Lifetime || now.Sub(p.heard) > pair.UnresponsiveAfter(n.peers.size()) {
 		n.notePeer("peer_heard", zap.String("peer", r.Node), zap.String("lifetime", r.Lifetime), zap.Int64("catalog", r.CatalogVersion))
 	}
 	p.lifetime, p.sequence, p.heard, p.silent = r.Lifetime, r.Sequence, now, false
@@ -316,10 +316,10 @@
 	n.hearWords(now, p.trials, r.Node)
 	p.work = make(map[string]capacity.Work, len(r.Work))
 	for _, v := range r.Work {
-		p.work[v.Service] = capacity.Work{Reading: v.Reading, Slots: v.Slots, Memory: v.Memory}
+		p.work[v.Service] = capacity.Work{Prefill: v.Reading, Slots: v.Slots, Memory: v.Memory}
 	}
-	n.quotas.TakeIn(now, quota.Word{Node: r.Node, Lifetime: r.Lifetime, Sequence: r.Sequence, Uptime: message.Millis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
-	n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
+	n.quotas.ApplyUpdate(now, quota.Update{Node: r.Node, Incarnation: r.Lifetime, Sequence: r.Sequence, Uptime: message.FromMillis(r.UptimeMs), Charged: message.SpentFromWire(r.Spent)})
+	n.usage.Merge(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	return true
 }
 
@@ -359,7 +359,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range a.Msg.Reports {
-		n.usage.TakeIn(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
+		n.usage.Merge(r.Node, r.Lifetime, message.StartedFromWire(r.Started))
 	}
 }
 
@@ -396,7 +396,7 @@
 	}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	s.n.usage.Others(func(node, lifetime string, w usage.Windows) {
+	s.n.usage.EachOther(func(node, lifetime string, w usage.Windows) {
 		a.Reports = append(a.Reports, &wire.NodeReport{Node: node, Lifetime: lifetime, Started: message.StartedToWire(w)})
 	})
 	return connect.NewResponse(a), nil
--- a/internal/edge/place.go
+++ b/internal/edge/place.go
@@ -28,7 +28,7 @@
 
 // place returns the upstream that this node's relay chooses for a request, or nothing if
 // the node is to choose.
-func (n *Node) place(ctx context.Context, v pool.Need) string {
+func (n *Node) place(ctx context.Context, v pool.Request) string {
 	n.mu.Lock()
 	p := n.peers.peers[n.home]
 	now := n.clock.Now()
@@ -65,7 +65,7 @@
 		s.n.log.Info("place_late", zap.String("request", m.Request), zap.String("node", m.Node))
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, ctx.Err())
 	}
-	v := pool.Need{ID: m.Request, Service: m.Service, Prompt: m.Prompt, Output: m.Output, Engine: true}
+	v := pool.Request{ID: m.Request, Service: m.Service, Prompt: m.Prompt, Output: m.Output, Engine: true}
 	for _, x := range m.Parts {
 		v.Parts = append(v.Parts, call.Part{ID: x.Id, Tokens: int(x.Tokens)})
 	}
--- a/internal/edge/place_test.go
+++ b/internal/edge/place_test.go
@@ -23,8 +23,8 @@
 	e := pool.Entry{ID: "a", Service: "s", Address: "10.0.0.1:1", Hall: "h", Slots: 8}
 	p.Update(func(l *pool.List) { l.Put(pool.Item{Entry: e, Revision: 1}) })
 	clock.Advance(time.Minute)
-	p.HearLimit(e, call.Limit{Word: call.LimitNamed, Rate: 1}, clock.Service().Now())
-	assert.Nil(t, p.Pick(pool.Need{ID: "r", Service: "s", Engine: true}), "its share begins with nothing")
+	p.ObserveLimit(e, call.Limit{Status: call.LimitNamed, Rate: 1}, clock.Service().Now())
+	assert.Nil(t, p.Pick(pool.Request{ID: "r", Service: "s", Engine: true}), "its share begins with nothing")
 	clock.Advance(time.Second)
 	s := &edgeService{n: &Node{log: zap.NewNop(), pools: p}}
 	left, leave := context.WithCancel(t.Context())
--- a/internal/edge/ready_test.go
+++ b/internal/edge/ready_test.go
@@ -41,7 +41,7 @@
 	_, err = w.Accept()
 	assert.Error(t, err)
 	assert.False(t, n.ready())
-	clock.Advance(accept.Keeps)
+	clock.Advance(accept.FailureHold)
 	assert.True(t, n.ready(), "nobody has called since, so it is tried again")
 	_, _ = w.Accept()
 	assert.False(t, n.ready())
--- a/internal/edge/recall.go
+++ b/internal/edge/recall.go
@@ -26,7 +26,7 @@
 
 // recallCached asks this node's part of the engines.
 func (n *Node) recallCached(ctx context.Context) {
-	if n.s.FirstStart || n.o.Cached == nil {
+	if n.s.FirstStart || n.o.FetchCachedParts == nil {
 		return
 	}
 	select {
@@ -40,18 +40,18 @@
 		}
 	}
 	for _, e := range n.enginesToAsk() {
-		if !n.pools.Ask(e) {
+		if !n.pools.AllowQuery(e) {
 			n.log.Info("cached_unasked", zap.String("upstream", e.ID), zap.String("cause", "it rests, or has had what it takes"))
 			continue
 		}
 		sent := n.clock.Now()
-		parts, said, err := n.o.Cached(ctx, e.Address)
+		parts, said, err := n.o.FetchCachedParts(ctx, e.Address)
 		n.heard(e, said, sent)
 		if err != nil {
-			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Rest), zap.String("cause", err.Error()))
+			n.log.Info("cached_unread", zap.String("upstream", e.ID), zap.Duration("asks_rest", said.Cooldown), zap.String("cause", err.Error()))
 			continue
 		}
-		n.pools.Held(e.ID, parts)
+		n.pools.ApplyCachedParts(e.ID, parts)
 		n.log.Info("cached_found", zap.String("upstream", e.ID), zap.Int("parts", len(parts)))
 	}
 }
--- a/internal/edge/records_test.go
+++ b/internal/edge/records_test.go
@@ -35,7 +35,7 @@
 		ctx, n := t.Context(), newEraNode(t)
 		service := n.clock.Service()
 		n.pools, n.usage, n.quotas, n.rollouts = pool.New(service, "a", "hall-a"), usage.New("a", "l", time.Second), quota.New(service.Now(), false), newRollouts()
-		n.front = forward.NewServer(forward.Options{Clock: service, Log: n.log, Pools: n.pools, Suspects: n.suspects})
+		n.front = forward.NewServer(forward.Options{Clock: service, Log: n.log, Pools: n.pools, Quarantine: n.suspects})
 		n.o.OrderPrefix, n.o.DecodeOrder = testOrders, func(string, []byte) (rollout.Order, error) {
 			return rollout.Order{Service: "s", Target: "v2", Duration: time.Second}, nil
 		}
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -66,7 +66,7 @@
 // relayStep does a round, if the fleet is large, and tells whether it did.
 func (n *Node) relayStep(ctx context.Context) bool {
 	n.mu.Lock()
-	large := pair.Every(n.peers.size()) > pair.Round
+	large := pair.Interval(n.peers.size()) > pair.Round
 	n.mu.Unlock()
 	if large {
 		n.relayRound(ctx, n.clock.Now())
@@ -82,12 +82,12 @@
 	if !slices.Contains(relay.Relays(ordered), n.s.Node) {
 		n.mu.Unlock()
 		if len(ordered) > 0 {
-			n.reportTo(ctx, relay.Homes(n.s.Node, ordered)[0], r)
+			n.reportTo(ctx, relay.ReportTargets(n.s.Node, ordered)[0], r)
 		}
 		return
 	}
-	n.book.Gather(now, message.RelayReport(r))
-	_, version := n.view.Known(n.s.Node)
+	n.book.ApplyReport(now, message.ReportFromWire(r))
+	_, version := n.view.KnownVersion(n.s.Node)
 	d := n.book.Digest(now, n.s.Node, version)
 	n.home = n.s.Node
 	n.mu.Unlock()
@@ -108,12 +108,12 @@
 			nodes[p.name] = p.cores
 		}
 	}
-	return relay.Order(nodes)
+	return relay.RankNodes(nodes)
 }
 
 // isThere tells whether another node is heard or stands in the registry. The node's lock is held.
 func (n *Node) isThere(now time.Time, p *peer) bool {
-	return now.Sub(p.heard) <= pair.Silent(n.peers.size()) || now.Sub(p.listed) <= 2*memberLook
+	return now.Sub(p.heard) <= pair.UnresponsiveAfter(n.peers.size()) || now.Sub(p.listed) <= 2*memberLook
 }
 
 // relays returns some of the relays of all halls, as this node sees them: of a hall's nodes in order, those that a
@@ -133,7 +133,7 @@
 func (n *Node) reportTo(ctx context.Context, name string, r *wire.NodeReport) {
 	n.mu.Lock()
 	p := n.peers.peers[name]
-	lifetime, version := n.view.Known(name)
+	lifetime, version := n.view.KnownVersion(name)
 	n.mu.Unlock()
 	if p == nil {
 		return
@@ -144,7 +144,7 @@
 	n.noteRelay(p, err)
 	if err == nil {
 		n.mu.Lock()
-		n.book.Away(name)
+		n.book.OwnNodeMoved(name)
 		n.mu.Unlock()
 		n.takeGathered(name, a.Msg)
 	}
@@ -179,12 +179,12 @@
 func (n *Node) takeDigest(name string, d relay.Digest) {
 	n.mu.Lock()
 	now := n.clock.Now()
-	words := n.view.Take(now, name, d)
+	words := n.view.ApplyDigest(now, name, d)
 	covered := make(map[string]bool, len(words))
 	for _, w := range words {
 		covered[w.Node] = true
-		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Lifetime && p.sequence > w.Sequence) {
-			n.quotas.TakeIn(now, quota.Word{Node: w.Node, Lifetime: w.Lifetime, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
+		if p := n.peers.peers[w.Node]; p != nil && !(p.lifetime == w.Incarnation && p.sequence > w.Sequence) {
+			n.quotas.ApplyUpdate(now, quota.Update{Node: w.Node, Incarnation: w.Incarnation, Sequence: w.Sequence, Uptime: w.Uptime, Age: w.Age, Charged: w.Spent})
 		}
 	}
 	n.relayed, n.covered, n.rollouts.others = now, covered, d.Trials
@@ -193,32 +193,32 @@
 		n.settle(d.Shares)
 	}
 	n.mu.Unlock()
-	n.pools.TakeShares(d.Shares, covered, d.Placed)
-	n.takeReach(d.Reach)
+	n.pools.ApplyPeerLoads(d.Shares, covered, d.Placed)
+	n.takeReach(d.Reachability)
 }
 
 // takeReach takes in what the other nodes of the hall couldn't reach.
-func (n *Node) takeReach(r pool.Reach) {
-	for _, h := range n.pools.TakeReach(r) {
-		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreached)), zap.Duration("answered", r.Answered[h]))
+func (n *Node) takeReach(r pool.Reachability) {
+	for _, h := range n.pools.ApplyReachability(r) {
+		n.log.Info("hall_cut_off", zap.String("hall", h), zap.Int("unreached", len(r.Unreachable)), zap.Duration("answered", r.LastResponse[h]))
 	}
 }
 
 // settle notes that this node places the requests of the nodes of its own share, and drops
 // those that the share tells of by now. The node's lock is held.
-func (n *Node) settle(shares []pool.Share) {
-	shares[0].Whole = true
-	n.pools.Settle(func(node string, at time.Time) bool { return n.book.Heard(node).After(at.Add(reportTakes)) })
+func (n *Node) settle(shares []pool.PeerLoad) {
+	shares[0].Complete = true
+	n.pools.DropReported(func(node string, at time.Time) bool { return n.book.LastSeen(node).After(at.Add(reportTakes)) })
 }
 
 // swapAll swaps with the other relays whose turn it is.
 func (n *Node) swapAll(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var others []pair.Other
+	var others []pair.Peer
 	for _, name := range n.relays(now, relay.Relays) {
 		if p := n.peers.peers[name]; p != nil {
-			others = append(others, pair.Other{Name: name, Heard: p.relaying.swapped, Called: p.relaying.called, Busy: p.relaying.busy})
+			others = append(others, pair.Peer{Name: name, LastSeen: p.relaying.swapped, LastCalled: p.relaying.called, Busy: p.relaying.busy})
 		}
 	}
 	for _, name := range pair.Due(now, n.s.Node, others) {
@@ -259,10 +259,10 @@
 // groupFor is this relay's word for another one that knows it up to a version. The node's
 // lock is held.
 func (n *Node) groupFor(name, lifetime string, version uint64) *wire.Group {
-	v := n.book.Group(n.clock.Now(), n.book.Version(lifetime, version))
+	v := n.book.Group(n.clock.Now(), n.book.BaseVersion(lifetime, version))
 	v.Share.Loads = append(v.Share.Loads, n.pools.Pending()...)
 	g := message.GroupToWire(v)
-	g.KnownLifetime, g.KnownVersion = n.book.Known(name)
+	g.KnownLifetime, g.KnownVersion = n.book.KnownVersion(name)
 	g.Suspicions = n.suspicions()
 	g.Limits = message.LimitsToWire(n.clock.Now(), n.pools.Limits())
 	return g
@@ -276,14 +276,14 @@
 	defer n.mu.Unlock()
 	now := n.clock.Now()
 	g := message.GroupFromWire(w)
-	n.book.TakeIn(now, g)
+	n.book.MergeGroup(now, g)
 	for _, c := range g.Changes {
-		n.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		n.usage.Merge(c.Node, c.Incarnation, c.Started)
 	}
 	if n.home == n.s.Node {
 		shares := n.book.Shares(now, n.s.Node)
 		n.settle(shares)
-		n.pools.TakeShares(shares, n.covered, nil)
+		n.pools.ApplyPeerLoads(shares, n.covered, nil)
 	}
 	if p := n.peers.peers[g.Relay]; p != nil {
 		p.relaying.swapped, p.relaying.lifetime, p.relaying.version = now, w.KnownLifetime, w.KnownVersion
@@ -300,8 +300,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock.Now()
-	n.book.Gather(now, message.RelayReport(v))
-	d := n.book.Digest(now, v.Node, n.book.Version(r.Msg.Lifetime, r.Msg.Version))
+	n.book.ApplyReport(now, message.ReportFromWire(v))
+	d := n.book.Digest(now, v.Node, n.book.BaseVersion(r.Msg.Lifetime, r.Msg.Version))
 	a := message.DigestToWire(d)
 	a.Suspicions = n.suspicions()
 	a.Limits = message.LimitsToWire(now, n.pools.Limits())
--- a/internal/edge/rolling.go
+++ b/internal/edge/rolling.go
@@ -87,8 +87,8 @@
 // read finds out how far a roll-out has come. The order itself is read, too: this node may
 // have heard of it by others, who tell no duration.
 func (r *roller) read(ctx context.Context, o rollout.Order) (*rolling, error) {
-	v := &rolling{state: rollout.State{Order: o, Began: r.n.clock.Now()}}
-	v.state.Since = v.state.Began
+	v := &rolling{state: rollout.State{Order: o, OrderedAt: r.n.clock.Now()}}
+	v.state.Since = v.state.OrderedAt
 	if err := r.readOrder(ctx, v); err != nil {
 		return nil, err
 	}
@@ -158,11 +158,11 @@
 		return errStage
 	}
 	v.written = true
-	v.state.Stage, v.state.Answers, v.state.Seen, v.said = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
-	v.state.Found = v.said
-	v.state.Began, v.state.Since = time.UnixMilli(b.BeganMs), time.UnixMilli(b.SinceMs)
+	v.state.Stage, v.state.Responses, v.state.PriorResponses, v.said = b.Stage, b.Answers, b.Seen, r.n.clock.Now()
+	v.state.FoundAt = v.said
+	v.state.OrderedAt, v.state.Since = time.UnixMilli(b.BeganMs), time.UnixMilli(b.SinceMs)
 	r.n.log.Info("rollout_found", zap.String("service", v.state.Order.Service), zap.Int64("order", b.Order), zap.Stringer("stage", b.Stage),
-		zap.Duration("age", r.n.clock.Since(v.state.Began)))
+		zap.Duration("age", r.n.clock.Since(v.state.OrderedAt)))
 	r.tell(v)
 	return nil
 }
@@ -176,7 +176,7 @@
 	if t == nil || t.Order().Revision != v.state.Order.Revision {
 		return
 	}
-	t.Raise(n.clock.Now(), v.state.Stage)
+	t.AdvanceTo(n.clock.Now(), v.state.Stage)
 	n.applySplit(n.clock.Now(), v.state.Order.Service)
 }
 
@@ -190,21 +190,21 @@
 		return
 	}
 	now := r.n.clock.Now()
-	v.state = v.state.Settle(now, f.Answers)
+	v.state = v.state.ResolveTakeover(now, f.Responses)
 	next, cause := v.state.Next(now, f)
 	same := next == v.state.Stage
 	if same && v.written {
 		r.logWait(v, cause, f)
-		if now.Sub(v.said) < rollout.SeenEvery {
+		if now.Sub(v.said) < rollout.ResponsesWriteInterval {
 			return
 		}
 	}
 	s := v.state
 	if !same {
-		s = s.Go(now, next, f.Answers)
+		s = s.Advance(now, next, f.Responses)
 	}
 	v.said = now
-	if err := r.write(ctx, v, s, f.Answers, failed); err != nil {
+	if err := r.write(ctx, v, s, f.Responses, failed); err != nil {
 		r.n.log.Info("rollout_unwritten", zap.String("service", s.Order.Service), zap.Stringer("stage", next), zap.String("cause", err.Error()))
 		delete(r.by, s.Order.Service) // what stands there is read anew
 		return
@@ -228,13 +228,13 @@
 	if t == nil || t.Order().Revision != o.Revision {
 		return rollout.Facts{}, 0, false
 	}
-	t.SignNow(n.clock.Now(), r.token)
+	t.IssueKeepAlive(n.clock.Now(), r.token)
 	v.gone = v.gone || n.rollouts.gone[o.Service] > o.Revision
-	answers, failed := t.Total().Answers()
+	answers, failed := t.Total().Responses()
 	f := rollout.Facts{
-		Invalid: o.Check() != nil && !v.gone, Withdrawn: v.gone, Answers: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
+		Invalid: o.Check() != nil && !v.gone, Withdrawn: v.gone, Responses: answers, Stopped: t.Stopped(), Suspicion: t.Suspicion(), Clear: t.Clear(),
 	}
-	f.Target, f.Others, f.Running = n.pools.Versions(o.Service, o.Target)
+	f.Target, f.OtherVersions, f.Running = n.pools.Versions(o.Service, o.Target)
 	if !n.listed.Load() {
 		f.Target = 0
 	}
@@ -253,7 +253,7 @@
 		return err
 	}
 	b, err := json.Marshal(rollingValue{
-		Order: s.Order.Revision, Target: s.Order.Target, BeganMs: s.Began.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Answers, Seen: seen, Failed: failed,
+		Order: s.Order.Revision, Target: s.Order.Target, BeganMs: s.OrderedAt.UnixMilli(), SinceMs: s.Since.UnixMilli(), Stage: s.Stage, Answers: s.Responses, Seen: seen, Failed: failed,
 	})
 	if err != nil {
 		return err
@@ -286,7 +286,7 @@
 	}
 	v.waits = cause
 	r.n.log.Info("rollout_waits", zap.String("service", v.state.Order.Service), zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause),
-		zap.Int64("answers", f.Answers), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.Others))
+		zap.Int64("answers", f.Responses), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions))
 }
 
 // rolloutStages is the stage of each service's last roll-out, by its number.
@@ -298,7 +298,7 @@
 	stage.Set(int64(v.state.Stage))
 	rolloutStages.Set(o.Service, stage)
 	r.n.log.Info("rollout_stage", zap.String("service", o.Service), zap.String("target", o.Target), zap.Int64("order", o.Revision),
-		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.Began)), zap.Duration("duration", o.Duration),
-		zap.Int64("answers", f.Answers), zap.Int64("failed", failed), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
-		zap.Int("upstreams", f.Target), zap.Int("others", f.Others), zap.Int("running", f.Running), zap.Int64("token", r.token))
+		zap.Stringer("stage", v.state.Stage), zap.Stringer("cause", cause), zap.Duration("after", r.n.clock.Since(v.state.OrderedAt)), zap.Duration("duration", o.Duration),
+		zap.Int64("answers", f.Responses), zap.Int64("failed", failed), zap.Float64("suspicion", hundredths(f.Suspicion)), zap.Bool("stopped", f.Stopped),
+		zap.Int("upstreams", f.Target), zap.Int("others", f.OtherVersions), zap.Int("running", f.Running), zap.Int64("token", r.token))
 }
--- a/internal/edge/rolling_test.go
+++ b/internal/edge/rolling_test.go
@@ -78,9 +78,9 @@
 // answers lets so many answers of the target be noted at a node.
 func answers(n *Node, count int) {
 	for i := 0; i < count; i++ {
-		n.noteAnswer("s", "r", i%2, rollout.Answer{Begun: true, First: 1})
+		n.noteAnswer("s", "r", i%2, rollout.Response{Started: true, First: 1})
 		for k := 0; k < 3; k++ {
-			n.noteAnswer("s", "r", -1, rollout.Answer{Begun: true, First: 1})
+			n.noteAnswer("s", "r", -1, rollout.Response{Started: true, First: 1})
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	token := takeOver(t, b)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageTrial)
-	assert.True(t, b.rollouts.trials["s"].Signed(r.clock.Service().Now()))
+	assert.True(t, b.rollouts.trials["s"].HasKeepAlive(r.clock.Service().Now()))
 	r.clock.Advance(time.Second)
 	roll.step(t.Context(), token)
 	r.assertStage(b, rollout.StageRolledBack)
@@ -171,7 +171,7 @@
 	roll.step(t.Context(), token)
 	r.assertStage(a, rollout.StageRolledBack)
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
@@ -188,7 +188,7 @@
 	assert.False(t, a.inService(pool.Entry{Service: "s", Version: "v2"}))
 	assert.True(t, a.inService(pool.Entry{Service: "s", Version: "v1"}))
 	for i := 0; i < 20; i++ {
-		assert.Equal(t, "v1", a.pools.Pick(pool.Need{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
+		assert.Equal(t, "v1", a.pools.Pick(pool.Request{ID: string(rune('a' + i)), Service: "s"}).Entry().Version)
 	}
 }
 
--- a/internal/edge/rollouts.go
+++ b/internal/edge/rollouts.go
@@ -28,7 +28,7 @@
 	trials map[string]*rollout.Trial  // by service
 	barred map[string]map[string]bool // versions that take nothing any more, by service
 	gone   map[string]int64           // revision at which an order was taken back, by service
-	others []rollout.Word             // as the relay told last
+	others []rollout.Update             // as the relay told last
 }
 
 func newRollouts() rollouts {
@@ -90,7 +90,7 @@
 		}
 		service := p.Key[len(rollingPrefix):]
 		if t := n.rollouts.trials[service]; t != nil && (t.Order().Revision == v.Order || t.Order().Continues(v.Order, v.Target)) {
-			t.Raise(now, v.Stage)
+			t.AdvanceTo(now, v.Stage)
 			n.applySplit(now, service)
 			n.log.Info("rollout_found", zap.String("service", service), zap.Int64("order", v.Order), zap.Stringer("stage", v.Stage))
 		}
@@ -127,12 +127,12 @@
 }
 
 // hearWords takes in what is known of roll-outs elsewhere. The node's lock is held.
-func (n *Node) hearWords(now time.Time, words []rollout.Word, source string) {
+func (n *Node) hearWords(now time.Time, words []rollout.Update, source string) {
 	for _, w := range words {
 		n.beginTrial(rollout.Order{Service: w.Service, Target: w.Target, Revision: w.Order}, source)
 		t := n.rollouts.trials[w.Service]
 		stage, stopped := t.Stage(), t.Stopped()
-		t.Hear(now, w)
+		t.ApplyUpdate(now, w)
 		if t.Stage() != stage || t.Stopped() != stopped {
 			n.log.Info("rollout_heard", zap.String("service", w.Service), zap.Int64("order", w.Order), zap.Stringer("stage", t.Stage()),
 				zap.Bool("stopped", t.Stopped()), zap.String("source", source))
@@ -155,7 +155,7 @@
 	}
 	for service, t := range n.rollouts.trials {
 		for _, w := range others {
-			if w.Service == service && w.Order == t.Order().Revision && t.Others(w.Tally) {
+			if w.Service == service && w.Order == t.Order().Revision && t.SetPeerTally(w.Tally) {
 				n.logStop(t, "the others' answers")
 			}
 		}
@@ -165,10 +165,10 @@
 
 // words is what this node tells of roll-outs. The node's lock is held, and the words are to be
 // turned into messages under it.
-func (n *Node) words() []rollout.Word {
-	var list []rollout.Word
+func (n *Node) words() []rollout.Update {
+	var list []rollout.Update
 	for _, t := range n.rollouts.trials {
-		list = append(list, t.Word())
+		list = append(list, t.Update())
 	}
 	return list
 }
@@ -186,7 +186,7 @@
 		bars[target] = true
 	}
 	n.pools.SetSplit(service, pool.Split{
-		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, AsLast: t.Stage() == rollout.StageWaiting && !t.Stopped(), Trials: t.Trials(others), Barred: bars,
+		Target: target, ToTarget: t.Side(now) == rollout.SideTarget, TargetAsFallback: t.Stage() == rollout.StageWaiting && !t.Stopped(), TrialUpstreams: t.TrialUpstreams(others), Barred: bars,
 	})
 }
 
@@ -194,7 +194,7 @@
 	v := t.Verdict()
 	n.log.Warn("rollout_stopped", zap.String("service", t.Order().Service), zap.Int64("order", t.Order().Revision), zap.Stringer("stage", t.Stage()),
 		zap.Stringer("reason", v.Reason), zap.String("route", v.Route), zap.Float64("sum", hundredths(v.Sum)),
-		zap.Float64("target_rate", hundredths(v.Target)), zap.Float64("others_rate", hundredths(v.Others)), zap.String("source", source))
+		zap.Float64("target_rate", hundredths(v.TargetRate)), zap.Float64("others_rate", hundredths(v.InServiceRate)), zap.String("source", source))
 }
 
 // offer tells whether a request goes to a version on trial.
@@ -202,7 +202,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
-	return t != nil && t.Offer(n.clock.Now(), route)
+	return t != nil && t.TakeCredit(n.clock.Now(), route)
 }
 
 // unoffer takes back an offer that couldn't be kept.
@@ -210,19 +210,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if t := n.rollouts.trials[service]; t != nil {
-		t.Return(route)
+		t.ReturnCredit(route)
 	}
 }
 
 // noteAnswer takes in an answer of a service under a roll-out.
-func (n *Node) noteAnswer(service, route string, rank int, a rollout.Answer) {
+func (n *Node) noteAnswer(service, route string, rank int, a rollout.Response) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.rollouts.trials[service]
 	if t == nil || t.Stage().Ended() {
 		return
 	}
-	if t.Note(route, rank, a) {
+	if t.Observe(route, rank, a) {
 		n.logStop(t, "own answers")
 		n.applySplit(n.clock.Now(), service)
 	}
@@ -279,10 +279,10 @@
 	r := &wire.RolloutsResponse{}
 	for service, t := range n.rollouts.trials {
 		o, v := t.Order(), t.Verdict()
-		answers, failed := t.Total().Answers()
+		answers, failed := t.Total().Responses()
 		of, others, running := n.pools.Versions(service, o.Target)
 		m := &wire.Rollout{
-			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.Signed(now), Answers: answers,
+			Service: service, Target: o.Target, Order: o.Revision, Stage: t.Stage().String(), Stopped: t.Stopped(), Signed: t.HasKeepAlive(now), Answers: answers,
 			Failed: failed, Suspicion: t.Suspicion(), Reason: v.Reason.String(), Route: v.Route, Upstreams: int64(of), Others: int64(others), Running: int64(running),
 		}
 		if !t.Since().IsZero() {
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -164,7 +164,7 @@
 
 // watchFront notes when callers can't be taken.
 func (n *Node) watchFront(l net.Listener) net.Listener {
-	w := accept.New(l, n.clock, n.log, n.s.Descriptors)
+	w := accept.New(l, n.clock, n.log, n.s.MaxDescriptors)
 	n.callers.Store(w)
 	return w
 }
@@ -209,7 +209,7 @@
 	for {
 		now := n.clock.Now()
 		d := now.Sub(begun)
-		if d >= n.s.Stop-stopMargin || d >= stopMinimum && t.quiet(now) {
+		if d >= n.s.StopTimeout-stopMargin || d >= stopMinimum && t.quiet(now) {
 			n.log.Info("stopped", zap.Duration("after", d), zap.Bool("quiet", t.quiet(now)))
 			return
 		}
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -45,19 +45,19 @@
 	FirstStart bool     // the whole system starts for the first time
 
 	MemoryBytes int64
-	Descriptors int     // that the process may have open; 0: not known
+	MaxDescriptors int     // that the process may have open; 0: not known
 	Cores       float64 // of the VM that this node may use; 0: not known
 	Store       StoreSettings
 	Cloud       CloudSettings
 
-	Stop        time.Duration // from the stop signal to the kill
-	Lease       time.Duration // of a duty
+	StopTimeout        time.Duration // from the stop signal to the kill
+	LeaseTTL       time.Duration // of a duty
 	RetryRatio  float64       // repeats a request, over all nodes
 	RetryWindow time.Duration
 	RetryExtra  float64 // repeats in the window beyond the ratio, over all nodes
 	Exposure    float64 // share of a service's requests that an untried version may get; 0: unsaid
 	UsageWindow time.Duration
-	UsageLate   time.Duration // a window's report is due so long after its end
+	UsageDeadline   time.Duration // a window's report is due so long after its end
 }
 
 // Check reports everything that is wrong.
@@ -80,7 +80,7 @@
 	for _, v := range []struct {
 		name string
 		d    time.Duration
-	}{{"the lease of a duty", s.Lease}, {"the usage window", s.UsageWindow}, {"the time to stop", s.Stop}, {"the retry window", s.RetryWindow}} {
+	}{{"the lease of a duty", s.LeaseTTL}, {"the usage window", s.UsageWindow}, {"the time to stop", s.StopTimeout}, {"the retry window", s.RetryWindow}} {
 		if v.d <= 0 {
 			bad("%s is %v: it has to be longer than 0", v.name, v.d)
 		}
--- a/internal/edge/states.go
+++ b/internal/edge/states.go
@@ -21,11 +21,11 @@
 func stateToWire(v pool.State) *wire.UpstreamState {
 	e := v.Entry
 	m := &wire.UpstreamState{
-		Id: e.ID, Service: e.Service, Hall: e.Hall, Born: e.Born, Leaving: e.Leaving, Declared: e.Declared, Misplaced: v.Misplaced, RestMs: v.Rest.Milliseconds(),
+		Id: e.ID, Service: e.Service, Hall: e.Hall, Born: e.Born, Leaving: e.Leaving, Declared: e.Declared, Misplaced: v.Misplaced, RestMs: v.Cooldown.Milliseconds(),
 		Limited: v.Limited, Rate: v.Rate, LimitAgeMs: v.LimitAge.Milliseconds(), Share: v.Share, Slowness: v.Slowness, UnreachedMs: -1, Running: int64(v.Running),
 	}
-	if v.Unreached >= 0 {
-		m.UnreachedMs = v.Unreached.Milliseconds()
+	if v.UnreachableAge >= 0 {
+		m.UnreachedMs = v.UnreachableAge.Milliseconds()
 	}
 	return m
 }
--- a/internal/edge/suspicions.go
+++ b/internal/edge/suspicions.go
@@ -26,14 +26,14 @@
 func (n *Node) hearSuspicions(m *wire.Suspicions, source string) {
 	if m != nil {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Hear(now, quarantine.WordsFromWire(now, m)), source)
+		n.front.ApplyQuarantine(n.suspects.Merge(now, quarantine.UpdateFromWire(now, m)), source)
 	}
 }
 
 // suspicions is what this node tells the others now; nil: nothing.
 func (n *Node) suspicions() *wire.Suspicions {
 	now := n.clock.Now()
-	return n.suspects.Words(now).ToWire(now)
+	return n.suspects.BuildUpdate(now).ToWire(now)
 }
 
 const (
@@ -74,7 +74,7 @@
 
 // heldEnd is an end of an upstream, by the wall clock: it is read by processes of other VMs.
 type heldEnd struct {
-	Print    quarantine.Print `json:"print"`
+	Print    quarantine.Fingerprint `json:"print"`
 	Upstream string           `json:"upstream"`
 	At       int64            `json:"at"` // Unix milliseconds
 }
@@ -88,13 +88,13 @@
 // write puts what holds requests back into the store when it has changed. What can't be
 // written is tried again with the next step.
 func (v *heldRequests) write(ctx context.Context, n *Node, token int64) {
-	ends, version := n.suspects.Held()
+	ends, version := n.suspects.Evidence()
 	if version == 0 || version == v.written && token == v.token {
 		return // nothing was ever held, or it stands there; what a term before wrote may be lost
 	}
 	list := make([]heldEnd, len(ends))
 	for i, e := range ends {
-		list[i] = heldEnd{e.Print, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
+		list[i] = heldEnd{e.Fingerprint, e.Upstream, n.clock.WallOf(e.At).UnixMilli()}
 	}
 	if heldRecord.write(ctx, n, token, list) {
 		v.written, v.token = version, token
@@ -121,11 +121,11 @@
 		return
 	}
 	now := n.clock.Now()
-	var w quarantine.Words
+	var w quarantine.Update
 	for _, v := range list {
 		at := now.Add(-max(0, now.Sub(n.clock.At(time.UnixMilli(v.At))))) // no end is to come
-		w.Ends = append(w.Ends, quarantine.End{Print: v.Print, Upstream: v.Upstream, At: at})
+		w.Crashes = append(w.Crashes, quarantine.Crash{Fingerprint: v.Print, Upstream: v.Upstream, At: at})
 	}
-	n.log.Info("held_found", zap.Int("ends", len(w.Ends)))
-	n.front.Held(n.suspects.Hear(now, w), heldRecord.key)
+	n.log.Info("held_found", zap.Int("ends", len(w.Crashes)))
+	n.front.ApplyQuarantine(n.suspects.Merge(now, w), heldRecord.key)
 }
--- a/internal/edge/suspicions_test.go
+++ b/internal/edge/suspicions_test.go
@@ -18,21 +18,21 @@
 	"spurhall.example/spurhall/internal/wire"
 )
 
-var deadlyPrint = quarantine.PrintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
+var deadlyPrint = quarantine.FingerprintOf(quarantine.Request{Target: "/chat/", Body: []byte("deadly")})
 
 // suspiciousNode is a node that runs no duty, and what it knows.
 func suspiciousNode(name string, clock *timer.Manual) *Node {
-	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Lifetime: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewClock()})
+	return New(Options{Settings: &Settings{Node: name, Hall: "a", Peers: "127.0.0.1:1", UsageWindow: time.Second}, Incarnation: name, Clock: clock.Service(), Log: zap.NewNop(), Era: era.NewTracker()})
 }
 
 func (n *Node) sawEnds(count int) {
 	for i := range count {
 		now := n.clock.Now()
-		n.front.Held(n.suspects.Broke(now, quarantine.End{Print: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
+		n.front.ApplyQuarantine(n.suspects.ObserveCrash(now, quarantine.Crash{Fingerprint: deadlyPrint, Upstream: fmt.Sprint("u", i), At: now}), "")
 	}
 }
 
-func (n *Node) holdsBack() bool { return n.suspects.Wait(n.clock.Now(), deadlyPrint) > 0 }
+func (n *Node) holdsBack() bool { return n.suspects.Remaining(n.clock.Now(), deadlyPrint) > 0 }
 
 // TestSuspicionsGoWithEveryMessage: what holds a request back is told by each kind of message
 // between nodes, both ways.
@@ -59,11 +59,11 @@
 	for name, swap := range ways {
 		t.Run(name, func(t *testing.T) {
 			x, y := pair()
-			x.sawEnds(quarantine.Proof)
+			x.sawEnds(quarantine.CrashThreshold)
 			swap(t, x, y)
 			assert.True(t, y.holdsBack(), "asked")
 			x, y = pair()
-			y.sawEnds(quarantine.Proof)
+			y.sawEnds(quarantine.CrashThreshold)
 			swap(t, x, y)
 			assert.True(t, x.holdsBack(), "answered")
 		})
@@ -74,14 +74,14 @@
 		x.sawEnds(1)
 		ways["swap"](t, x, y)
 		ways["gather"](t, z, y)
-		assert.Equal(t, 1, z.suspects.Ends(deadlyPrint))
+		assert.Equal(t, 1, z.suspects.CrashCount(deadlyPrint))
 	})
 }
 
 // TestSuspicionsOfAnotherVersion: a node of another version may tell prints of another length.
 func TestSuspicionsOfAnotherVersion(t *testing.T) {
 	m := &wire.Suspicions{Ends: []*wire.End{{Print: []byte("short"), Upstream: "u"}}, Answers: []*wire.Answered{{Print: nil}}}
-	assert.True(t, quarantine.WordsFromWire(time.Unix(1000, 0), m).Empty())
+	assert.True(t, quarantine.UpdateFromWire(time.Unix(1000, 0), m).Empty())
 }
 
 // TestTheWayToAHall: one node of a hall that listens shows that the way there is open.
