--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -25,7 +25,7 @@
 // start runs a request in a goroutine of its own.
 func (n *Node) start(r *request.Request) {
 	ctx, cancel := context.WithCancel(n.ctx)
-	ended := r.Running(cancel)
+	ended := r.MarkRunning(cancel)
 	go func() {
 		defer cancel()
 		n.run(ctx, r, ended)
@@ -36,7 +36,7 @@
 // which may be long before its answer is journalled.
 func (n *Node) run(ctx context.Context, r *request.Request, ended func()) {
 	defer ended()
-	w := n.view.Named(r.Workspace())
+	w := n.view.WorkspaceByName(r.Workspace())
 	p, err := ingress.ParseChat(r.Body())
 	if w == nil || w.Service(r.Service()) == nil || err != nil {
 		// Its workspace was deleted after it was accepted: there is nothing to run it by.
@@ -45,35 +45,35 @@
 		return
 	}
 	s := w.Service(r.Service())
-	c := p.Work(r, s)
+	c := p.DispatchChat(r, s)
 	c.Deadline = n.clock.Now().Add(time.Duration(s.Timeout))
 	if r.Job() {
 		c.Deadline = n.clock.Now().Add(jobDeadline)
 	}
-	c.Moved = r.Moved
+	c.TakenOver = r.Moved
 	n.dispatcher.Chat(ctx, c)
 	ended()
 	if r.Moved() && r.Record().Read(0).Outcome == stream.OutcomeOpen {
 		return
 	}
 	if r.Job() {
-		n.journalAnswer(r)
+		n.journalResponse(r)
 	}
 	v := r.Record().Read(0)
 	ingress.Outcomes.Add(string(v.Outcome), 1)
-	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Pieces), r.Record().Attempt()))
+	n.log.Add("request_done", r.ID(), fmt.Sprintf("%s, %d tokens, attempt %d", v.Outcome, len(v.Tokens), r.Record().Attempt()))
 }
 
 // jobDeadline is how long an accepted job is tried.
 const jobDeadline = 24 * time.Hour
 
-const journalAgain = 500 * time.Millisecond
+const journalRetryInterval = 500 * time.Millisecond
 
 // journalAnswer writes a job's answer down, however long the platform is out.
-func (n *Node) journalAnswer(r *request.Request) {
+func (n *Node) journalResponse(r *request.Request) {
 	for n.ctx.Err() == nil {
 		err := n.journal.Finish(n.ctx, r.Spec(), func(owner string) bool {
-			return owner == n.id || owner == r.From() || n.ownerGone(owner)
+			return owner == n.id || owner == r.PreviousOwner() || n.ownerGone(owner)
 		})
 		if err == nil {
 			n.log.Add("job_finished", r.ID(), "journalled")
@@ -84,7 +84,7 @@
 			n.log.Add("job_superseded", r.ID(), "another node's answer stands")
 			return
 		}
-		_ = n.clock.Sleep(n.ctx, journalAgain)
+		_ = n.clock.Sleep(n.ctx, journalRetryInterval)
 	}
 }
 
@@ -102,8 +102,8 @@
 	}
 	n.log.Add("job_not_journalled", r.ID(), err.Error())
 	uncertain := errors.Is(err, job.ErrUncertain)
-	for _, f := range n.holders(r.ID()) {
-		if n.hold(ctx, f.Fact, r.Spec(), true) == nil {
+	for _, f := range n.holderCandidates(r.ID()) {
+		if n.holdAt(ctx, f.Fact, r.Spec(), true) == nil {
 			if f.Hall != n.o.Hall {
 				return "peer-other-hall", nil
 			}
@@ -125,8 +125,8 @@
 
 // holders lists the other live nodes in the order in which they hold a request,
 // those of other halls first.
-func (n *Node) holders(id string) []member.Seen {
-	byID := make(map[string]member.Seen)
+func (n *Node) holderCandidates(id string) []member.Record {
+	byID := make(map[string]member.Record)
 	var far, near []string
 	for _, f := range n.liveNodes() {
 		if f.ID == n.id {
@@ -139,16 +139,16 @@
 			near = append(near, f.ID)
 		}
 	}
-	var r []member.Seen
+	var r []member.Record
 	for _, id := range append(route.Rank(id, far), route.Rank(id, near)...) {
 		r = append(r, byID[id])
 	}
 	return r
 }
 
-func (n *Node) hold(ctx context.Context, f member.Fact, s request.Spec, copyOnly bool) error {
+func (n *Node) holdAt(ctx context.Context, f member.Fact, s request.Spec, copyOnly bool) error {
 	if n.peers.blocked(f.Address) {
-		return errCut
+		return errBlocked
 	}
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -158,8 +158,8 @@
 
 // dropCopies tells the holders that a job is over.
 func (n *Node) dropCopies(id string) {
-	for i, f := range n.holders(id) {
-		if i == findPeers {
+	for i, f := range n.holderCandidates(id) {
+		if i == maxFindPeers {
 			return
 		}
 		x, cancel := context.WithTimeout(n.ctx, callTimeout)
@@ -169,12 +169,12 @@
 }
 
 // findPeers is how many nodes are asked for a request, after its first owner.
-const findPeers = 3
+const maxFindPeers = 3
 
 // find looks for a request that isn't held here: at the node that named it, at those
 // that it would have been handed to, and in the journal.
 func (n *Node) find(ctx context.Context, id, workspace string) *request.Request {
-	for _, f := range n.likely(id) {
+	for _, f := range n.likelyHolders(id) {
 		if r := n.findAt(ctx, f.Fact, id, workspace); r != nil {
 			return r
 		}
@@ -189,15 +189,15 @@
 }
 
 // likely lists the nodes that may have a request, the likeliest first.
-func (n *Node) likely(id string) []member.Seen {
-	var r []member.Seen
+func (n *Node) likelyHolders(id string) []member.Record {
+	var r []member.Record
 	owner := ingress.OwnerOf(id)
-	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.At) < n.silenceOf(&f.Fact) {
+	if f, ok := n.table.Get(owner); ok && f.Status != member.StatusGone && n.clock.Since(f.ReceivedAt) < n.peerTimeout(&f.Fact) {
 		r = append(r, f)
 	}
 	// A request is handed over by rank, near and far alike, so the order here must
 	// not depend on this node's own hall.
-	byID := make(map[string]member.Seen)
+	byID := make(map[string]member.Record)
 	var ids []string
 	for _, f := range n.liveNodes() {
 		if f.ID != owner && f.ID != n.id {
@@ -206,7 +206,7 @@
 		}
 	}
 	for i, v := range route.Rank(id, ids) {
-		if i == findPeers {
+		if i == maxFindPeers {
 			break
 		}
 		r = append(r, byID[v])
@@ -236,16 +236,16 @@
 // follow copies an answer that grows on another node into a record here. When that
 // node goes away the request is looked for again, until its deadline.
 func (n *Node) follow(r *request.Request, f member.Fact) {
-	ctx, cancel := context.WithTimeout(n.ctx, followLimit)
+	ctx, cancel := context.WithTimeout(n.ctx, followTimeout)
 	defer cancel()
 	for ctx.Err() == nil && r.Record().Read(0).Outcome == stream.OutcomeOpen {
 		n.followOnce(ctx, r, f)
 		if r.Record().Read(0).Outcome != stream.OutcomeOpen {
 			return
 		}
-		_ = n.clock.Sleep(ctx, followPause)
-		for _, o := range n.likely(r.ID()) {
-			if n.knows(ctx, o.Fact, r) {
+		_ = n.clock.Sleep(ctx, followRetryInterval)
+		for _, o := range n.likelyHolders(r.ID()) {
+			if n.hasRequest(ctx, o.Fact, r) {
 				f = o.Fact
 				break
 			}
@@ -254,11 +254,11 @@
 }
 
 const (
-	followLimit = 10 * time.Minute
-	followPause = 200 * time.Millisecond
+	followTimeout = 10 * time.Minute
+	followRetryInterval = 200 * time.Millisecond
 )
 
-func (n *Node) knows(ctx context.Context, f member.Fact, r *request.Request) bool {
+func (n *Node) hasRequest(ctx context.Context, f member.Fact, r *request.Request) bool {
 	if n.peers.blocked(f.Address) {
 		return false
 	}
@@ -269,7 +269,7 @@
 }
 
 func (n *Node) followOnce(ctx context.Context, r *request.Request, f member.Fact) {
-	attempt, offset := r.Record().Begin()
+	attempt, offset := r.Record().StartAttempt()
 	s, err := n.peers.get(f.ID, f.Address).client.Read(ctx, connect.NewRequest(&wire.ReadRequest{Id: r.ID(), Offset: int32(offset), Workspace: r.Workspace()}))
 	if err != nil {
 		return
@@ -290,7 +290,7 @@
 }
 
 const (
-	jobsEvery = 2 * time.Second
+	jobPollInterval = 2 * time.Second
 	// orphanAfter is how long the owner of a job must have been silent before another
 	// node takes the job over. Too early costs tokens, never a second answer.
 	orphanAfter = 3 * time.Second
@@ -301,10 +301,10 @@
 // compare-and-swap settles who of several takes a job. Copies held for a peer are
 // looked after by their holder.
 func (n *Node) watchJobs(ctx context.Context) {
-	n.duty(n.followJournal)
-	n.clock.Every(ctx, jobsEvery, func(time.Time) {
+	n.startDuty(n.followJournal)
+	n.clock.Every(ctx, jobPollInterval, func(time.Time) {
 		n.runOrphanCopies()
-		if n.life.Is("ready") {
+		if n.lifecycle.Is("ready") {
 			n.takeOverJobs(ctx)
 		}
 	})
@@ -313,34 +313,34 @@
 // followJournal keeps the owners of the open jobs, while this node is the one of its
 // hall to do so.
 func (n *Node) followJournal(ctx context.Context) {
-	for n.clock.Sleep(ctx, jobsEvery) == nil {
-		if !n.first("jobs", 1) {
+	for n.clock.Sleep(ctx, jobPollInterval) == nil {
+		if !n.hasDuty("jobs", 1) {
 			continue
 		}
 		x, cancel := context.WithCancel(ctx)
-		n.duty(func(context.Context) { n.yield(x, "jobs", cancel) })
-		_ = n.journal.Follow(x, n.noteJob)
+		n.startDuty(func(context.Context) { n.cancelOnDutyLoss(x, "jobs", cancel) })
+		_ = n.journal.Follow(x, n.recordJob)
 		cancel()
 		n.mu.Lock()
-		n.open = make(map[string]string)
+		n.openJobs = make(map[string]string)
 		n.mu.Unlock()
 	}
 }
 
-func (n *Node) noteJob(e job.Entry) {
+func (n *Node) recordJob(e job.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !e.Open {
-		delete(n.open, e.ID)
+		delete(n.openJobs, e.ID)
 		return
 	}
-	n.open[e.ID] = e.Owner
+	n.openJobs[e.ID] = e.Owner
 }
 
-func (n *Node) orphans() []string {
+func (n *Node) orphanedJobs() []string {
 	n.mu.Lock()
 	owners := make(map[string][]string)
-	for id, owner := range n.open {
+	for id, owner := range n.openJobs {
 		if owner != n.id {
 			owners[owner] = append(owners[owner], id)
 		}
@@ -363,12 +363,12 @@
 	if !ok || f.Status == member.StatusGone {
 		return true
 	}
-	return n.clock.Since(f.At) > orphanAfter+n.silentAfter() && !n.answers(&f.Fact)
+	return n.clock.Since(f.ReceivedAt) > orphanAfter+n.hallTimeout() && !n.responds(&f.Fact)
 }
 
 // answers asks a node directly: one of another hall is heard of so seldom that its
 // silence alone says little.
-func (n *Node) answers(f *member.Fact) bool {
+func (n *Node) responds(f *member.Fact) bool {
 	if n.peers.blocked(f.Address) {
 		return false
 	}
@@ -380,15 +380,15 @@
 
 // silenceOf is how long another node may be silent before it counts as gone for
 // serving.
-func (n *Node) silenceOf(f *member.Fact) time.Duration {
+func (n *Node) peerTimeout(f *member.Fact) time.Duration {
 	if f.Hall != n.o.Hall {
-		return n.silentAfter() + 2*n.pace().slow
+		return n.hallTimeout() + 2*n.currentIntervals().crossHallInterval
 	}
-	return n.silentAfter()
+	return n.hallTimeout()
 }
 
 func (n *Node) takeOverJobs(ctx context.Context) {
-	for _, id := range n.orphans() {
+	for _, id := range n.orphanedJobs() {
 		s, revision, err := n.journal.Get(ctx, id)
 		if err != nil || revision == 0 || s.Outcome != stream.OutcomeOpen || s.Owner == n.id {
 			continue
@@ -404,12 +404,12 @@
 // adopt runs a request that another node had, from where it was.
 func (n *Node) adopt(s request.Spec) {
 	if s.Owner != n.id {
-		s.From, s.Owner = s.Owner, n.id
+		s.PreviousOwner, s.Owner = s.Owner, n.id
 	}
 	if old := n.registry.Get(s.ID); old != nil {
 		// A copy held here may be further than what was written down.
-		if p := old.Record().Pieces(); len(p) > len(s.Pieces) {
-			s.Pieces = p
+		if p := old.Record().Tokens(); len(p) > len(s.Tokens) {
+			s.Tokens = p
 		}
 	}
 	r := request.New(s)
--- a/internal/node/session_test.go
+++ b/internal/node/session_test.go
@@ -30,7 +30,7 @@
 	ids map[string]string
 }
 
-func (s *session) hide(text string) string {
+func (s *session) maskVolatile(text string) string {
 	text = timePattern.ReplaceAllString(text, `"created":T`)
 	return idPattern.ReplaceAllStringFunc(text, func(id string) string {
 		if s.ids[id] == "" {
@@ -40,14 +40,14 @@
 	})
 }
 
-func (s *session) write(what string, a answer) {
+func (s *session) record(what string, a response) {
 	fmt.Fprintf(&s.out, "> %s\n< %d", what, a.status)
 	for _, h := range []string{"Spurhall-Outcome", "X-Request-Id", "Spurhall-Held", "Retry-After", "Idempotent-Replayed", "Location"} {
 		if v := a.header.Get(h); v != "" {
-			fmt.Fprintf(&s.out, " %s=%s", h, s.hide(v))
+			fmt.Fprintf(&s.out, " %s=%s", h, s.maskVolatile(v))
 		}
 	}
-	fmt.Fprintf(&s.out, "\n%s\n\n", strings.TrimSpace(s.hide(a.body)))
+	fmt.Fprintf(&s.out, "\n%s\n\n", strings.TrimSpace(s.maskVolatile(a.body)))
 }
 
 // TestSession is a session of a shop and its operators: calls of each kind, mistakes, a
@@ -58,9 +58,9 @@
 	r.waitEngines(1)
 	s := &session{ids: make(map[string]string)}
 	n := r.nodes[0]
-	call := func(what, method, path, body string, header ...string) answer {
+	call := func(what, method, path, body string, header ...string) response {
 		a := n.call(method, path, body, header...)
-		s.write(what, a)
+		s.record(what, a)
 		return a
 	}
 	call("read", http.MethodGet, "/s/orders/check/17?full=1", "")
@@ -71,7 +71,7 @@
 	r.eventually("the answer is on record", func() bool { return n.keyed("/refuse", "k1").status == http.StatusOK })
 	a := n.keyed("/refuse", "k1")
 	a.header.Del("X-Request-Id") // how many were asked meanwhile varies
-	s.write("the same key again", a)
+	s.record("the same key again", a)
 	k := newChat("chat", "hello", 3, true)
 	a = call("streamed chat", http.MethodPost, "/v1/chat/completions", k.body)
 	call("the rest of it, by id", http.MethodGet, "/v1/requests/"+a.id, "", "Last-Event-ID", a.id+":0")
@@ -92,13 +92,13 @@
 	r.outage()
 	call("keyed call in an outage", http.MethodPost, "/s/orders/refuse", "{}", "Idempotency-Key", "k2")
 	call("promised call in an outage", http.MethodPost, "/s/orders/promise", "{}", "Idempotency-Key", "k3")
-	s.write("the same key through the other node", r.nodes[1].keyed("/promise", "k3"))
+	s.record("the same key through the other node", r.nodes[1].keyed("/promise", "k3"))
 	goldie.New(t).Assert(t, "session", []byte(s.out.String()))
 }
 
 // TestIdleAndSlowCallersStopNobody: a thousand connections that say nothing and some
 // that send a byte now and then stand beside ordinary callers.
-func TestIdleAndSlowCallersStopNobody(t *testing.T) {
+func TestIdleAndSlowCallersBlockNoOthers(t *testing.T) {
 	r := newRig(t, "hall-a")
 	var list []net.Conn
 	defer func() {
--- a/internal/node/speed_test.go
+++ b/internal/node/speed_test.go
@@ -15,7 +15,7 @@
 	"spurhall.example/spurhall/internal/standin"
 )
 
-func timed(n int, f func(i int)) []time.Duration {
+func measureEach(n int, f func(i int)) []time.Duration {
 	list := make([]time.Duration, n)
 	for i := range list {
 		start := time.Now()
@@ -44,7 +44,7 @@
 	f, _ := r.nodes[0].table.Get("o1")
 	const calls = 500
 	b.Run("direct", func(b *testing.B) {
-		reportTimes(b, timed(calls, func(int) {
+		reportTimes(b, measureEach(calls, func(int) {
 			a, err := rigClient.Get("http://" + f.Address + "/x")
 			if err == nil {
 				_, _ = io.Copy(io.Discard, a.Body)
@@ -53,15 +53,15 @@
 		}))
 	})
 	b.Run("through-a-node", func(b *testing.B) {
-		reportTimes(b, timed(calls, func(int) { r.nodes[0].call(http.MethodGet, "/s/orders/x", "") }))
+		reportTimes(b, measureEach(calls, func(int) { r.nodes[0].call(http.MethodGet, "/s/orders/x", "") }))
 	})
 	b.Run("claimed", func(b *testing.B) {
-		reportTimes(b, timed(calls, func(i int) { r.nodes[0].keyed("/refuse", fmt.Sprintf("c%d", i)) }))
+		reportTimes(b, measureEach(calls, func(i int) { r.nodes[0].keyed("/refuse", fmt.Sprintf("c%d", i)) }))
 	})
 	r.outage()
 	b.Run("promised-in-an-outage", func(b *testing.B) {
 		done := 0
-		reportTimes(b, timed(calls, func(i int) {
+		reportTimes(b, measureEach(calls, func(i int) {
 			if r.nodes[i%3].keyed("/promise", fmt.Sprintf("p%d", i)).outcome == "done" {
 				done++
 			}
@@ -82,7 +82,7 @@
 	one := func(b *testing.B, address string) {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		used := cpu()
+		used := cpuTime()
 		for i := 0; i < streams; i++ {
 			q, _ := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(k.body))
 			q.Header.Set("Authorization", "Bearer "+rigKey)
@@ -94,7 +94,7 @@
 			_ = a.Body.Close()
 		}
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64((cpu()-used).Microseconds())/streams/tokens, "cpu_us/token")
+		b.ReportMetric(float64((cpuTime()-used).Microseconds())/streams/tokens, "cpu_us/token")
 		b.ReportMetric(float64(after.Mallocs-before.Mallocs)/streams/tokens, "allocs/token")
 		b.ReportMetric(0, "ns/op")
 	}
@@ -103,7 +103,7 @@
 }
 
 func sixNodes(b *testing.B) *rig {
-	return newRigWith(b, func(o *Options) { o.Exchange = time.Second }, "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c")
+	return newRigWith(b, func(o *Options) { o.ExchangeInterval = time.Second }, "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c")
 }
 
 // BenchmarkLeaving: from the notice until every node knows, with the VM list 30 s
@@ -116,9 +116,9 @@
 	}
 	r.waitEngines(engines)
 	r.platform.SetLag(30 * time.Second)
-	r.nodes[3].out.Store(true)
-	r.nodes[3].cut.Store(r.nodes[0].o.PeerAddress, true)
-	reportTimes(b, timed(engines-1, func(i int) {
+	r.nodes[3].platformCut.Store(true)
+	r.nodes[3].blockedPeers.Store(r.nodes[0].o.PeerAddress, true)
+	reportTimes(b, measureEach(engines-1, func(i int) {
 		id := fmt.Sprintf("e%d", i)
 		r.platform.Notice(id, 20*time.Second)
 		r.eventually("every node knows", func() bool {
@@ -136,13 +136,13 @@
 // six nodes in three halls.
 func BenchmarkConfigInForce(b *testing.B) {
 	r := sixNodes(b)
-	reportTimes(b, timed(20, func(i int) {
+	reportTimes(b, measureEach(20, func(i int) {
 		n := r.nodes[i%6]
 		s, err := r.edit(n, n.View().Revision(), fmt.Sprint(i))
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.inForce(s.Revision)
+		r.waitInForce(s.Revision)
 	}))
 }
 
@@ -152,7 +152,7 @@
 	r := newRigWith(b, func(*Options) {}, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Slots: 400, Decode: 20 * time.Millisecond})
 	r.waitEngines(1)
-	before := heap()
+	before := heapInUse()
 	const streams = 200
 	whole := make([]bool, streams)
 	var wait sync.WaitGroup
@@ -164,8 +164,8 @@
 			whole[i] = content(r.chat(r.nodes[0], k).body) == k.want
 		}()
 	}
-	r.eventually("the streams run", func() bool { return r.nodes[0].running() == streams })
-	memory := heap() - before
+	r.eventually("the streams run", func() bool { return r.nodes[0].openRequests() == streams })
+	memory := heapInUse() - before
 	start := time.Now()
 	r.nodes[0].Drain(b.Context())
 	took := time.Since(start)
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -16,7 +16,7 @@
 )
 
 // assertToldTrue compares every answer with the services' run logs.
-func (r *rig) assertToldTrue(list []answer) {
+func (r *rig) assertOutcomesTrue(list []response) {
 	r.t.Helper()
 	runs := r.plain.Runs()
 	for _, e := range r.engines {
@@ -37,8 +37,8 @@
 	}
 }
 
-func (r *rig) manyPosts(k int) []answer {
-	list := make([]answer, k)
+func (r *rig) manyPosts(k int) []response {
+	list := make([]response, k)
 	var wait sync.WaitGroup
 	for i := range list {
 		wait.Add(1)
@@ -64,7 +64,7 @@
 			r.plain.Fault(f)
 			list := r.manyPosts(40)
 			r.plain.Fault(standin.Fault{})
-			r.assertToldTrue(list)
+			r.assertOutcomesTrue(list)
 		})
 	}
 	t.Run("a later attempt takes nothing back", func(t *testing.T) {
@@ -73,7 +73,7 @@
 		r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{}).Fault(standin.Fault{Mode: standin.FaultLose, Path: "/v1/chat"})
 		r.waitEngines(1)
 		r.plain.Fault(standin.Fault{Mode: standin.FaultLose, Path: "/again"})
-		list := []answer{
+		list := []response{
 			r.nodes[0].call(http.MethodPost, "/s/orders/again", "{}"),
 			r.nodes[0].call(http.MethodGet, "/s/orders/again", ""),
 			r.chat(r.nodes[0], newChat("chat", "hello", 5, true)),
@@ -83,13 +83,13 @@
 			assert.Equal(t, "unknown", a.outcome, a.body)
 		}
 		r.plain.Fault(standin.Fault{})
-		r.assertToldTrue(list)
+		r.assertOutcomesTrue(list)
 	})
 	t.Run("full queue", func(t *testing.T) {
 		r := newRig(t, "hall-a", "hall-b")
 		r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{Slots: 1, Decode: 50 * time.Millisecond})
 		r.waitEngines(1)
-		list := make([]answer, 60)
+		list := make([]response, 60)
 		var wait sync.WaitGroup
 		for i := range list {
 			wait.Add(1)
@@ -106,12 +106,12 @@
 			}
 		}
 		assert.NotZero(t, refused, "the pool can't have taken all of them in time")
-		r.assertToldTrue(list)
+		r.assertOutcomesTrue(list)
 	})
 	t.Run("draining", func(t *testing.T) {
 		r := newRig(t, "hall-a", "hall-b")
 		go r.nodes[0].Drain(t.Context())
-		r.assertToldTrue(r.manyPosts(40))
+		r.assertOutcomesTrue(r.manyPosts(40))
 	})
 	t.Run("malformed", func(t *testing.T) {
 		r := newRig(t, "hall-a")
@@ -128,11 +128,11 @@
 
 // An answer is given up at once, not held to its deadline: the service is gone, and
 // the call's timeout is 2 s.
-func TestGivenUpIsToldAtOnce(t *testing.T) {
+func TestFailureIsReportedAtOnce(t *testing.T) {
 	r := newRig(t, "hall-a")
 	r.platform.Notice("o1", time.Minute)
 	r.eventually("the service is gone", func() bool { return r.nodes[0].upstreams("orders") == 0 })
-	x := make(chan answer, 1)
+	x := make(chan response, 1)
 	go func() { x <- r.nodes[0].call(http.MethodGet, "/s/orders/x", "") }()
 	a := <-x
 	assert.Equal(t, "not-run", a.outcome)
@@ -150,7 +150,7 @@
 		go func() {
 			defer wait.Done()
 			a := r.chat(r.nodes[i%2], k)
-			assertWhole(t, k, a)
+			assertComplete(t, k, a)
 			for _, l := range strings.Split(a.body, "\n") {
 				if id, ok := strings.CutPrefix(l, "id: "); ok {
 					assert.True(t, strings.HasPrefix(id, a.id+":"), "an event of another request: %s", id)
@@ -180,7 +180,7 @@
 	r.waitEngines(1)
 	k := newChat("chat", "hello", 30, true)
 	a := r.chat(r.nodes[0], k)
-	assertWhole(t, k, a)
+	assertComplete(t, k, a)
 	b := r.nodes[1].call(http.MethodGet, "/v1/requests/"+a.id, "", "Last-Event-ID", "other:3")
 	assert.Equal(t, http.StatusBadRequest, b.status)
 	assert.Empty(t, b.outcome, "the request asked about has run")
@@ -197,20 +197,20 @@
 // notice as the only word.
 // A VM list that jumps back in time shows none of the VMs that came since. They are
 // not taken for gone: that would be for good, and they answer.
-func TestVMListThatGoesBack(t *testing.T) {
+func TestStaleVMList(t *testing.T) {
 	r := newRig(t, "hall-a", "hall-b")
 	r.addEngine("e1", "hall-a", "z1", standin.EngineOptions{})
 	r.waitEngines(1)
 	r.platform.SetLag(time.Hour)
-	time.Sleep(3*vmListEvery + vmListEvery/2)
+	time.Sleep(3*vmListInterval + vmListInterval/2)
 	for _, n := range r.nodes {
 		k := newChat("chat", "hello", 5, true)
-		assertWhole(t, k, r.chat(n, k))
+		assertComplete(t, k, r.chat(n, k))
 		assert.Equal(t, "done", n.call(http.MethodGet, "/s/orders/x", "").outcome)
 	}
 }
 
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	for _, source := range []string{"notice", "its own 503"} {
 		t.Run(source, func(t *testing.T) {
 			r := newRig(t, "hall-a", "hall-a", "hall-b", "hall-b")
@@ -218,8 +218,8 @@
 			r.addEngine("e2", "hall-b", "z2", standin.EngineOptions{Decode: time.Millisecond})
 			r.waitEngines(2)
 			r.platform.SetLag(30 * time.Second)
-			r.nodes[3].out.Store(true)
-			r.nodes[3].cut.Store(r.nodes[0].o.PeerAddress, true)
+			r.nodes[3].platformCut.Store(true)
+			r.nodes[3].blockedPeers.Store(r.nodes[0].o.PeerAddress, true)
 			e1.Leave()
 			if source == "notice" {
 				r.platform.Notice("e1", 20*time.Second)
@@ -237,7 +237,7 @@
 			for i, n := range r.nodes {
 				for j := 0; j < 10; j++ {
 					k := newChat("chat", fmt.Sprintf("q%d %d", i, j), 2, true)
-					assertWhole(t, k, r.chat(n, k))
+					assertComplete(t, k, r.chat(n, k))
 				}
 			}
 			assert.Equal(t, before, e1.Stats().Requests)
--- a/internal/pair/pair.go
+++ b/internal/pair/pair.go
@@ -23,16 +23,16 @@
 	// Round is the length of a round. Quotas overshoot by what is charged in it.
 	Round = 250 * time.Millisecond
 	// aRound is how many pairs of a node swap in a round, on average half of them called by the node itself.
-	aRound = 12
+	pairsPerRound = 12
 	// missed is how many swaps a node may miss before it doesn't count as heard.
-	missed = 6
+	missedExchanges = 6
 )
 
 // Every is how often a pair swaps in a fleet of so many nodes.
-func Every(nodes int) time.Duration { return max(Round, Round*time.Duration(nodes-1)/aRound) }
+func Interval(nodes int) time.Duration { return max(Round, Round*time.Duration(nodes-1)/pairsPerRound) }
 
 // Silent is the silence after which a node doesn't count as heard any more: some swaps that were missed.
-func Silent(nodes int) time.Duration { return missed * Every(nodes) }
+func UnresponsiveAfter(nodes int) time.Duration { return missedExchanges * Interval(nodes) }
 
 // calls tells which of two nodes calls the other.
 func calls(self, other string) bool {
@@ -42,24 +42,24 @@
 }
 
 // Other is another node, as one that may call it knows it.
-type Other struct {
+type Peer struct {
 	Name   string
-	Heard  time.Time // when it last swapped, whoever called
-	Called time.Time // by this node
+	LastSeen  time.Time // when it last swapped, whoever called
+	LastCalled time.Time // by this node
 	Busy   bool      // a call is under way
 }
 
 // Due returns the names of those to call in this round, of all others, the longest waiting ones first. One that
 // isn't heard is called from both sides.
-func Due(now time.Time, self string, others []Other) []string {
-	every, silent := Every(len(others)+1), Silent(len(others)+1)
-	list := slices.DeleteFunc(slices.Clone(others), func(o Other) bool {
-		mine := calls(self, o.Name) || now.Sub(o.Heard) > silent
-		return !mine || o.Busy || now.Sub(o.Called) < every-Round/2 // rounds come a little late: half a round early is on time
+func Due(now time.Time, self string, others []Peer) []string {
+	every, silent := Interval(len(others)+1), UnresponsiveAfter(len(others)+1)
+	list := slices.DeleteFunc(slices.Clone(others), func(o Peer) bool {
+		mine := calls(self, o.Name) || now.Sub(o.LastSeen) > silent
+		return !mine || o.Busy || now.Sub(o.LastCalled) < every-Round/2 // rounds come a little late: half a round early is on time
 	})
-	slices.SortFunc(list, func(a, b Other) int { return a.Called.Compare(b.Called) })
-	names := make([]string, 0, aRound)
-	for _, o := range list[:min(len(list), aRound)] {
+	slices.SortFunc(list, func(a, b Peer) int { return a.LastCalled.Compare(b.LastCalled) })
+	names := make([]string, 0, pairsPerRound)
+	for _, o := range list[:min(len(list), pairsPerRound)] {
 		names = append(names, o.Name)
 	}
 	return names
--- a/internal/pair/pair_test.go
+++ b/internal/pair/pair_test.go
@@ -12,11 +12,11 @@
 // node is one node, and what it knows of the others.
 type node struct {
 	name   string
-	others []Other
+	others []Peer
 }
 
-func (n *node) other(name string) *Other {
-	return &n.others[slices.IndexFunc(n.others, func(o Other) bool { return o.Name == name })]
+func (n *node) other(name string) *Peer {
+	return &n.others[slices.IndexFunc(n.others, func(o Peer) bool { return o.Name == name })]
 }
 
 func fleet(size int) []*node {
@@ -25,7 +25,7 @@
 		nodes[i] = &node{name: fmt.Sprint("edge-", i)}
 		for j := range size {
 			if j != i {
-				nodes[i].others = append(nodes[i].others, Other{Name: fmt.Sprint("edge-", j)})
+				nodes[i].others = append(nodes[i].others, Peer{Name: fmt.Sprint("edge-", j)})
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 
 // play lets the nodes swap for some rounds, and returns the most calls that a node made in a round and
 // the longest time for which a pair swapped none.
-func play(nodes []*node, rounds int) (calls int, longest time.Duration) {
+func simulate(nodes []*node, rounds int) (calls int, longest time.Duration) {
 	by := make(map[string]*node)
 	for _, n := range nodes {
 		by[n.name] = n
@@ -47,11 +47,11 @@
 			calls = max(calls, len(due))
 			for _, name := range due {
 				o := n.other(name)
-				if !o.Heard.IsZero() {
-					longest = max(longest, now.Sub(o.Heard))
+				if !o.LastSeen.IsZero() {
+					longest = max(longest, now.Sub(o.LastSeen))
 				}
-				o.Called, o.Heard = now, now
-				by[name].other(n.name).Heard = now
+				o.LastCalled, o.LastSeen = now, now
+				by[name].other(n.name).LastSeen = now
 			}
 		}
 	}
@@ -78,15 +78,15 @@
 
 func TestPace(t *testing.T) {
 	t.Run("few nodes swap in each round", func(t *testing.T) {
-		_, longest := play(fleet(8), 100)
+		_, longest := simulate(fleet(8), 100)
 		assert.Equal(t, Round, longest)
 	})
 	for _, size := range []int{77, 200} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
-			most, longest := play(fleet(size), 4*int(Every(size)/Round))
-			assert.LessOrEqual(t, most, aRound, "a node's calls don't grow with the fleet")
-			assert.Less(t, longest, 2*Every(size))
-			assert.Less(t, longest, Silent(size))
+			most, longest := simulate(fleet(size), 4*int(Interval(size)/Round))
+			assert.LessOrEqual(t, most, pairsPerRound, "a node's calls don't grow with the fleet")
+			assert.Less(t, longest, 2*Interval(size))
+			assert.Less(t, longest, UnresponsiveAfter(size))
 		})
 	}
 }
@@ -99,14 +99,14 @@
 		assert.Len(t, Due(now, n.name, n.others), 1, "nobody is heard yet")
 	}
 	for _, n := range nodes {
-		n.others[0].Heard, n.others[0].Called = now, now
+		n.others[0].LastSeen, n.others[0].LastCalled = now, now
 	}
 	due := func() int {
 		return len(Due(now, nodes[0].name, nodes[0].others)) + len(Due(now, nodes[1].name, nodes[1].others))
 	}
 	now = now.Add(Round)
 	assert.Equal(t, 1, due())
-	now = now.Add(Silent(2))
+	now = now.Add(UnresponsiveAfter(2))
 	assert.Equal(t, 2, due())
 }
 
--- a/internal/pool/choose.go
+++ b/internal/pool/choose.go
@@ -29,7 +29,7 @@
 	SameHall bool
 	Running  float64 // requests there now, of all nodes
 	Queued   float64 // prompt tokens there without a first token
-	Held     float64 // tokens of memory that running requests take
+	Reserved     float64 // tokens of memory that running requests take
 	Memory   float64 // tokens; 0: unknown
 	Cached   float64 // tokens of this prompt that are likely cached
 	Fetch    float64 // tokens beyond these that it could take from another upstream
@@ -37,14 +37,14 @@
 	Source   string  // the other upstream's address
 	Slowness float64 // of its answers relative to the pool's, 1 is usual
 	Failures float64 // share of recent requests that failed
-	Refused  bool    // said that it is full a moment ago
+	Full  bool    // said that it is full a moment ago
 	Cold     bool    // warming up
 	// Unreachable says that it, or others of its hall, couldn't be reached a moment ago.
 	Unreachable bool
 }
 
 // Need is what is known of the request and of the service that it goes to.
-type Need struct {
+type Request struct {
 	ID       string
 	Service  string
 	Prompt   float64 // tokens
@@ -53,15 +53,15 @@
 	Engine   bool // the service has engines
 	Trial    bool // it goes to an upstream of a roll-out's target that is on trial
 	Excluded map[string]bool
-	Fresh    bool   // only upstreams that this node hasn't failed to reach lately
+	ReachableOnly    bool   // only upstreams that this node hasn't failed to reach lately
 	placed   string // the upstream that a relay has chosen, which has counted it against that one's limit
 }
 
 // Service is what was learned of a service, as a choice needs it.
 type Service struct {
 	Engine capacity.Engine // of one with engines
-	Answer float64         // milliseconds to an answer's head, of one without
-	Unseen float64         // milliseconds of work that others have sent to an upstream since their last word
+	ResponseMs float64         // milliseconds to an answer's head, of one without
+	UnreportedMs float64         // milliseconds of work that others have sent to an upstream since their last word
 }
 
 // The weights of a choice, in milliseconds. What depends on the engines is learned; these
@@ -85,7 +85,7 @@
 )
 
 // Pick returns the index of the cheapest candidate, or -1 if there is none.
-func Pick(n Need, s Service, list []Candidate) int {
+func Pick(n Request, s Service, list []Candidate) int {
 	best, least := -1, math.Inf(1)
 	home := homeOf(n, list)
 	for i := range list {
@@ -93,7 +93,7 @@
 		if n.Excluded[c.ID] {
 			continue
 		}
-		x := cost(n, s, c) + unseenMost*s.Unseen*luck(n.ID, c.ID)
+		x := cost(n, s, c) + unseenMost*s.UnreportedMs*luck(n.ID, c.ID)
 		if i == home {
 			x -= homeMs
 		}
@@ -104,17 +104,17 @@
 	return best
 }
 
-func cost(n Need, s Service, c *Candidate) float64 {
+func cost(n Request, s Service, c *Candidate) float64 {
 	x := baseMs
 	if n.Engine {
 		x += engineCost(n, s.Engine, c)
 	} else {
-		x += plainFull * s.Answer * c.occupied()
+		x += plainFull * s.ResponseMs * c.occupied()
 	}
 	if !c.SameHall {
 		x += otherHallMs
 	}
-	if c.Unreachable || c.Refused || c.Slots > 0 && c.Running >= float64(c.Slots) {
+	if c.Unreachable || c.Full || c.Slots > 0 && c.Running >= float64(c.Slots) {
 		x += fullMs
 	}
 	if c.Cold {
@@ -123,7 +123,7 @@
 	return x * c.Slowness * (1 + failureWeight*c.Failures)
 }
 
-func engineCost(n Need, e capacity.Engine, c *Candidate) float64 {
+func engineCost(n Request, e capacity.Engine, c *Candidate) float64 {
 	tokens := c.Queued + math.Max(0, n.Prompt-c.Cached)
 	wait := 0.0
 	if c.fetches(e) {
@@ -131,10 +131,10 @@
 		wait = c.FetchMs
 	}
 	if c.Memory > 0 {
-		over := c.Held + n.Prompt + n.Output - memoryShare*c.Memory
+		over := c.Reserved + n.Prompt + n.Output - memoryShare*c.Memory
 		tokens += memoryWeight * math.Max(0, over)
 	}
-	return wait + e.Read(tokens) + occupiedMs*c.occupied()
+	return wait + e.PrefillTime(tokens) + occupiedMs*c.occupied()
 }
 
 // occupied is the share of slots that are taken.
@@ -144,9 +144,9 @@
 
 // homeOf names the upstream for a prompt whose shared parts are cached nowhere, or for
 // a plain request: the same one on every node, another one for each prompt.
-func homeOf(n Need, list []Candidate) int {
+func homeOf(n Request, list []Candidate) int {
 	key := n.ID
-	if c := Chain(n.Parts); len(c) > 1 {
+	if c := PrefixHashes(n.Parts); len(c) > 1 {
 		key = string(appendHash(nil, c[len(c)-2]))
 	}
 	best, top := -1, uint64(0)
@@ -163,7 +163,7 @@
 
 // Chain returns a hash for each prefix of the parts: a part is cached only together with
 // all those before it.
-func Chain(p []call.Part) []uint64 {
+func PrefixHashes(p []call.Part) []uint64 {
 	r := make([]uint64, len(p))
 	var b [16]byte
 	h := uint64(0)
@@ -184,7 +184,7 @@
 
 // drained is what is left of a queue of tokens that was reported a while ago.
 func drained(e capacity.Engine, tokens float64, age time.Duration) float64 {
-	waits := e.Read(tokens)
+	waits := e.PrefillTime(tokens)
 	if waits <= 0 {
 		return 0
 	}
--- a/internal/pool/choose_test.go
+++ b/internal/pool/choose_test.go
@@ -19,13 +19,13 @@
 	return l
 }
 
-var prompt = Need{ID: "r", Engine: true, Prompt: 5000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 4000}, {ID: 2, Tokens: 1000}}}
+var prompt = Request{ID: "r", Engine: true, Prompt: 5000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 4000}, {ID: 2, Tokens: 1000}}}
 
 // learned is a service whose engines read 30 tokens a millisecond.
-var learned = Service{Engine: capacity.Engine{Reading: 30, First: 60, Token: 10, Samples: 100}, Answer: 15}
+var learned = Service{Engine: capacity.Engine{Reading: 30, First: 60, Token: 10, Samples: 100}, ResponseMs: 15}
 
 // assertPicks changes the candidates so that one of them should be chosen, or left.
-func assertPicks(t *testing.T, n Need, change func(l []Candidate), want func(i int) bool) {
+func assertPicks(t *testing.T, n Request, change func(l []Candidate), want func(i int) bool) {
 	t.Helper()
 	l := candidates(4)
 	change(l)
@@ -44,8 +44,8 @@
 		assertPicks(t, prompt, func(l []Candidate) { l[0].Cached, l[0].Queued = 4000, 9000 }, not(0))
 	})
 	for name, change := range map[string]func(c *Candidate){
-		"full": func(c *Candidate) { c.Running = 8 }, "refused": func(c *Candidate) { c.Refused = true }, "failing": func(c *Candidate) { c.Failures = 0.5 },
-		"slow": func(c *Candidate) { c.Slowness = 3 }, "unreachable": func(c *Candidate) { c.Unreachable = true }, "cold": func(c *Candidate) { c.Cold = true }, "out of memory": func(c *Candidate) { c.Held = 98_000 },
+		"full": func(c *Candidate) { c.Running = 8 }, "refused": func(c *Candidate) { c.Full = true }, "failing": func(c *Candidate) { c.Failures = 0.5 },
+		"slow": func(c *Candidate) { c.Slowness = 3 }, "unreachable": func(c *Candidate) { c.Unreachable = true }, "cold": func(c *Candidate) { c.Cold = true }, "out of memory": func(c *Candidate) { c.Reserved = 98_000 },
 	} {
 		t.Run("not one that is "+name, func(t *testing.T) {
 			assertPicks(t, prompt, func(l []Candidate) { change(&l[home]) }, not(home))
@@ -62,7 +62,7 @@
 		assert.Equal(t, -1, Pick(n, learned, candidates(1)))
 	})
 	t.Run("a plain request goes where slots are free", func(t *testing.T) {
-		n := Need{ID: "p"}
+		n := Request{ID: "p"}
 		h := Pick(n, learned, candidates(4))
 		assertPicks(t, n, func(l []Candidate) { l[h].Running = 4 }, not(h))
 	})
@@ -85,9 +85,9 @@
 }
 
 func TestChain(t *testing.T) {
-	a := Chain([]call.Part{{ID: 1}, {ID: 2}, {ID: 3}})
-	b := Chain([]call.Part{{ID: 1}, {ID: 2}, {ID: 4}})
-	c := Chain([]call.Part{{ID: 2}, {ID: 1}, {ID: 3}})
+	a := PrefixHashes([]call.Part{{ID: 1}, {ID: 2}, {ID: 3}})
+	b := PrefixHashes([]call.Part{{ID: 1}, {ID: 2}, {ID: 4}})
+	c := PrefixHashes([]call.Part{{ID: 2}, {ID: 1}, {ID: 3}})
 	assert.Equal(t, a[:2], b[:2])
 	assert.NotEqual(t, a[2], b[2])
 	assert.NotEqual(t, a[2], c[2], "a part counts only behind the same parts")
--- a/internal/pool/comeback.go
+++ b/internal/pool/comeback.go
@@ -8,7 +8,7 @@
 
 // ComeBack returns how long a caller that is turned away now is to stay away, where all upstreams that could
 // take it rest or have had what they take; else 0. Each call takes a turn.
-func (p *Pools) ComeBack(service string) time.Duration {
+func (p *Pools) RetryAfter(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -19,9 +19,9 @@
 		if m.entry.Leaving || m.gone {
 			continue
 		}
-		l := m.entry.Lifetime()
+		l := m.entry.Incarnation()
 		rate, limited := p.limits.Rate(now, l)
-		wait := p.rests.Left(now, l)
+		wait := p.rests.Wait(now, l)
 		if limited {
 			wait = max(wait, p.limits.Wait(now, l, s.size.Slots > 0))
 		}
@@ -43,7 +43,7 @@
 		return 0
 	}
 	nodes := float64(p.nodes(now))
-	return s.turns.Take(now, soonest, places/nodes, pace/nodes)
+	return s.turns.Next(now, soonest, places/nodes, pace/nodes)
 }
 
 // nodes is how many nodes share the upstreams, this one included: those that were heard of lately.
--- a/internal/pool/comeback_test.go
+++ b/internal/pool/comeback_test.go
@@ -20,7 +20,7 @@
 		p := New(clock.Service(), "self", "h")
 		for j := range nodes {
 			if j != i {
-				p.TakeIn(fmt.Sprint("n", j), nil, nil, map[string]capacity.Engine{})
+				p.ApplyReport(fmt.Sprint("n", j), nil, nil, map[string]capacity.Engine{})
 			}
 		}
 		p.Update(func(l *List) {
@@ -29,7 +29,7 @@
 			}
 		})
 		for _, v := range p.Items() {
-			p.Rest(v.Entry, rest)
+			p.StartCooldown(v.Entry, rest)
 		}
 		list = append(list, p)
 	}
@@ -62,9 +62,9 @@
 			for i := range callers {
 				at := time.Duration(i) * rest / callers
 				clock.Advance(start.Add(at).Sub(clock.Service().Now()))
-				told := pools[i%nodes].ComeBack("s")
+				told := pools[i%nodes].RetryAfter("s")
 				assert.GreaterOrEqual(t, at+told, rest, "none is told too early")
-				assert.LessOrEqual(t, at+told, rest+retry.SpreadMost)
+				assert.LessOrEqual(t, at+told, rest+retry.MaxReturnSpread)
 				back = append(back, at+told)
 			}
 			slices.Sort(back)
@@ -76,40 +76,40 @@
 		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
 		var back []time.Duration
 		for range 3 * callers {
-			back = append(back, p.ComeBack("s"))
+			back = append(back, p.RetryAfter("s"))
 		}
-		assert.LessOrEqual(t, slices.Max(back), rest+retry.SpreadMost)
+		assert.LessOrEqual(t, slices.Max(back), rest+retry.MaxReturnSpread)
 		assert.LessOrEqual(t, most(back, 500*time.Millisecond), 80+3*40)
 	})
 	t.Run("a single caller is told the end of the rest", func(t *testing.T) {
 		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
-		assert.Equal(t, rest, p.ComeBack("s"))
+		assert.Equal(t, rest, p.RetryAfter("s"))
 	})
 	t.Run("one that doesn't rest", func(t *testing.T) {
 		p := resting(timer.NewManual(start), 1, 2, 8, rest)[0]
 		p.Update(func(l *List) {
 			l.Put(Item{Entry: Entry{ID: "v", Service: "s", Address: "10.0.0.1:2", Slots: 8}, Revision: 2})
 		})
-		assert.Zero(t, p.ComeBack("s"))
+		assert.Zero(t, p.RetryAfter("s"))
 	})
 	t.Run("nodes that a relay tells of share the places, too", func(t *testing.T) {
 		p := resting(timer.NewManual(start), 1, 10, 8, rest)[0]
-		p.TakeShares(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
+		p.ApplyPeerLoads(nil, map[string]bool{"x": true, "y": true, "z": true}, nil)
 		for range 80 / 4 {
-			assert.Equal(t, rest, p.ComeBack("s"))
+			assert.Equal(t, rest, p.RetryAfter("s"))
 		}
-		assert.Greater(t, p.ComeBack("s"), rest)
+		assert.Greater(t, p.RetryAfter("s"), rest)
 	})
 	t.Run("the next rest begins anew", func(t *testing.T) {
 		clock := timer.NewManual(start)
 		p := resting(clock, 1, 10, 8, rest)[0]
 		for range callers {
-			p.ComeBack("s")
+			p.RetryAfter("s")
 		}
-		clock.Advance(rest + 2*retry.SpreadMost)
+		clock.Advance(rest + 2*retry.MaxReturnSpread)
 		for _, v := range p.Items() {
-			p.Rest(v.Entry, rest)
+			p.StartCooldown(v.Entry, rest)
 		}
-		assert.Equal(t, rest, p.ComeBack("s"))
+		assert.Equal(t, rest, p.RetryAfter("s"))
 	})
 }
--- a/internal/pool/fetch.go
+++ b/internal/pool/fetch.go
@@ -53,5 +53,5 @@
 // fetches tells whether taking cached parts from another engine is quicker than reading
 // them again.
 func (c *Candidate) fetches(e capacity.Engine) bool {
-	return c.Fetch > 0 && c.FetchMs < e.Read(c.Fetch)
+	return c.Fetch > 0 && c.FetchMs < e.PrefillTime(c.Fetch)
 }
--- a/internal/pool/fetch_test.go
+++ b/internal/pool/fetch_test.go
@@ -11,8 +11,8 @@
 )
 
 // shared is a request whose first part others have, too.
-func shared(id string, own uint64) Need {
-	return Need{ID: id, Service: "s", Engine: true, Prompt: 6000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 5000}, {ID: own, Tokens: 1000}}}
+func shared(id string, own uint64) Request {
+	return Request{ID: id, Service: "s", Engine: true, Prompt: 6000, Output: 100, Parts: []call.Part{{ID: 1, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 }
 
 // fetchPools is two halls of two engines that read 30 tokens a millisecond; rate is that of
@@ -26,7 +26,7 @@
 // fetchPoolsAt is such pools by a clock.
 func fetchPoolsAt(c *timer.Manual) *Pools {
 	p := cutPools(c)
-	p.Recall("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
+	p.RestoreEngine("s", capacity.Engine{Reading: 30, First: 30, Token: 10})
 	return p
 }
 
--- a/internal/pool/held.go
+++ b/internal/pool/held.go
@@ -22,7 +22,7 @@
 const heldLimit = 64
 
 // Held takes in the prompt parts that an engine has cached, and passes them on in reports.
-func (p *Pools) Held(upstream string, parts []call.Part) {
+func (p *Pools) ApplyCachedParts(upstream string, parts []call.Part) {
 	parts = slices.Clone(parts)
 	slices.SortFunc(parts, func(a, b call.Part) int { return cmp.Compare(b.Tokens, a.Tokens) })
 	p.mu.Lock()
--- a/internal/pool/learn.go
+++ b/internal/pool/learn.go
@@ -37,11 +37,11 @@
 
 // Recall takes in what processes that are gone have learned of a service's engines. It
 // counts until this node, or one that it hears, has learned anew.
-func (p *Pools) Recall(service string, e capacity.Engine) {
+func (p *Pools) RestoreEngine(service string, e capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(service)
-	s.learner.Recall(e)
+	s.learner.Restore(e)
 	s.merged = time.Time{}
 }
 
--- a/internal/pool/life_test.go
+++ b/internal/pool/life_test.go
@@ -108,20 +108,20 @@
 	clock := timer.NewManual(start)
 	p := New(clock.Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(lifeAt(1, 1, false)) })
-	u := p.Pick(Need{Service: "s"})
+	u := p.Pick(Request{Service: "s"})
 	for range 5 {
-		v := p.Pick(Need{Service: "s"})
+		v := p.Pick(Request{Service: "s"})
 		v.End(ResultUnreachable)
 	}
-	p.TakeReach(Reach{Unreached: []Unreached{{Upstream: "a", Born: 1, Nodes: 3, Gone: true}}})
-	assert.Nil(t, p.Pick(Need{Service: "s"}), "its address is another's")
+	p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true}}})
+	assert.Nil(t, p.Pick(Request{Service: "s"}), "its address is another's")
 	changes := p.Update(func(l *List) { l.Put(lifeAt(2, 2, false)) })
 	events := []string{}
 	for _, c := range changes {
 		events = append(events, c.Event)
 	}
 	assert.Equal(t, []string{"gone", "listed"}, events)
-	n := p.Pick(Need{Service: "s"})
+	n := p.Pick(Request{Service: "s"})
 	if assert.NotNil(t, n) {
 		assert.Equal(t, 0, n.Choice().Running, "what runs at the life before")
 		u.End(ResultFailed)
@@ -130,14 +130,14 @@
 		n.End(ResultGood)
 	}
 	t.Run("a word of the life before is none of it", func(t *testing.T) {
-		p.TakeReach(Reach{Unreached: []Unreached{{Upstream: "a", Born: 1, Nodes: 3, Gone: true, Age: time.Millisecond}}})
-		assert.NotNil(t, p.Pick(Need{Service: "s"}))
+		p.ApplyReachability(Reachability{Unreachable: []UnreachableUpstream{{Upstream: "a", Born: 1, Nodes: 3, Misplaced: true, Age: time.Millisecond}}})
+		assert.NotNil(t, p.Pick(Request{Service: "s"}))
 	})
 }
 
 func withoutWork(l []Load) []Load {
 	for i := range l {
-		l[i].Queued, l[i].Held = 0, 0
+		l[i].Queued, l[i].Reserved = 0, 0
 	}
 	return l
 }
@@ -151,11 +151,11 @@
 func TestBirthThatComesWithTheNextLife(t *testing.T) {
 	p := New(timer.NewManual(start).Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(lifeAt(0, 1, false)) })
-	p.Pick(Need{ID: "x", Service: "s"}).End(ResultGone)
-	assert.Nil(t, p.Pick(Need{ID: "x", Service: "s"}))
+	p.Pick(Request{ID: "x", Service: "s"}).End(ResultMisplaced)
+	assert.Nil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	p.Update(func(l *List) {
 		l.Put(lifeAt(5, 2, false))
 		l.Put(lifeAt(6, 3, false))
 	})
-	assert.NotNil(t, p.Pick(Need{ID: "x", Service: "s"}))
+	assert.NotNil(t, p.Pick(Request{ID: "x", Service: "s"}))
 }
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -35,7 +35,7 @@
 	Slots       int           // requests that it works on at once
 	Leaving     bool          // takes nothing new
 	Declared    bool          // its entry says so itself
-	Begun       int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
+	StartRevision       int64         // of one whose Born is unsaid: the store's revision from which it is known to be another life; 0: the first known
 	WarmUp      time.Duration // it is slow for so long
 	Reclaimable bool
 	LeavesIn    time.Duration // 0: unsaid
@@ -75,7 +75,7 @@
 func (l *List) Revision() int64 { return l.revision }
 
 // Change returns the store's revision of the newest change that was taken in.
-func (l *List) Change() int64 { return l.change }
+func (l *List) LastChange() int64 { return l.change }
 
 // Len returns the number of entries, missing ones included.
 func (l *List) Len() int { return len(l.items) }
@@ -209,7 +209,7 @@
 
 // Void takes in that an entry can't be read from a revision on: whoever wrote it, its key names
 // no upstream until a sound one stands there. What was known of it isn't forgotten.
-func (l *List) Void(revision int64, id string) {
+func (l *List) MarkUnreadable(revision int64, id string) {
 	l.change = max(l.change, revision)
 	if old, ok := l.items[id]; ok && old.Revision <= revision {
 		l.voids[id] = revision
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -37,7 +37,7 @@
 // another tells whether two entries of an id, of which neither is known to be the later, are of different lives.
 func (e Entry) another(o Entry) bool {
 	if e.Born == 0 && o.Born == 0 {
-		return e.Address != o.Address || e.Begun != o.Begun
+		return e.Address != o.Address || e.StartRevision != o.StartRevision
 	}
 	return e.Born != o.Born
 }
@@ -50,8 +50,8 @@
 		return e.Born != o.Born
 	case o.Born != 0:
 		return false // it is of the life that is held
-	case e.Begun != 0:
-		return e.Begun > o.Begun
+	case e.StartRevision != 0:
+		return e.StartRevision > o.StartRevision
 	case e.Address != o.Address:
 		return true
 	}
@@ -60,8 +60,8 @@
 
 // begin makes the entry the first one of a later life than that of old.
 func (v *Item) begin(old Item) {
-	if v.Entry.Born == 0 && v.Entry.Begun <= old.Entry.Begun {
-		v.Entry.Begun = v.Revision
+	if v.Entry.Born == 0 && v.Entry.StartRevision <= old.Entry.StartRevision {
+		v.Entry.StartRevision = v.Revision
 	}
 }
 
@@ -70,7 +70,7 @@
 	e, o := &v.Entry, old.Entry
 	e.Leaving = e.Leaving || o.Leaving
 	e.Declared = e.Declared || o.Declared
-	e.Begun = max(e.Begun, o.Begun)
+	e.StartRevision = max(e.StartRevision, o.StartRevision)
 	if e.Born == 0 {
 		e.Born = o.Born
 	}
--- a/internal/pool/others.go
+++ b/internal/pool/others.go
@@ -18,12 +18,12 @@
 // sums take the place of the reports of the nodes that it tells of.
 
 // Share is what some other nodes together have at upstreams.
-type Share struct {
+type PeerLoad struct {
 	Age   time.Duration // of the figures, on average
 	Loads []Load
 	// Whole says that whatever these nodes have sent since is known: this node places their
 	// requests.
-	Whole bool
+	Complete bool
 }
 
 type shareLoad struct {
@@ -38,13 +38,13 @@
 
 // TakeShares takes in what other nodes have, as a relay tells it, which nodes these are, and
 // where prompt prefixes were read.
-func (p *Pools) TakeShares(shares []Share, covered map[string]bool, placed []Placement) {
+func (p *Pools) ApplyPeerLoads(shares []PeerLoad, covered map[string]bool, placed []Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	p.shares, p.covered, p.shared = p.shares[:0], covered, now
 	for _, s := range shares {
-		p.shares = append(p.shares, shareLoad{at: now.Add(-s.Age), loads: s.Loads, whole: s.Whole})
+		p.shares = append(p.shares, shareLoad{at: now.Add(-s.Age), loads: s.Loads, whole: s.Complete})
 	}
 	p.learnPlaced(now, placed)
 }
@@ -95,8 +95,8 @@
 			aged += float64(l.Running) * float64(age) / float64(time.Millisecond)
 		}
 		holds := math.Exp(-float64(age) / float64(time.Millisecond) / lasts)
-		m.others.add(holds, float64(l.Running), drained(e, l.Queued, age), l.Held)
-		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Held)
+		m.others.add(holds, float64(l.Running), drained(e, l.Queued, age), l.Reserved)
+		anywhere.add(1-holds, float64(l.Running), l.Queued, l.Reserved)
 	}
 	for node, v := range p.peers {
 		if age := now.Sub(v.at); age <= peerKeeps && !p.covers(now, node) {
--- a/internal/pool/others_test.go
+++ b/internal/pool/others_test.go
@@ -14,7 +14,7 @@
 func othersAt(age time.Duration) (there, elsewhere othersLoad) {
 	c := timer.NewManual(start)
 	p := cutPools(c)
-	p.TakeIn("other", []Load{{Upstream: "a1", Running: 8, Queued: 3000, Held: 8000}}, nil, nil)
+	p.ApplyReport("other", []Load{{Upstream: "a1", Running: 8, Queued: 3000, Reserved: 8000}}, nil, nil)
 	c.Advance(age)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,8 +53,8 @@
 	}
 	patience := func() time.Duration {
 		u := p.Pick(shared("x", 2))
-		defer u.End(ResultUnclear)
-		return u.Patience()
+		defer u.End(ResultInconclusive)
+		return u.WaitLimit()
 	}
 	for i := 0; i < 20; i++ {
 		answer(100 * time.Millisecond)
@@ -72,7 +72,7 @@
 	t.Run("what was given up counts as a lag", func(t *testing.T) {
 		before := patience()
 		u := p.Pick(shared("y", 3))
-		u.GivenUp(2 * time.Second)
+		u.TimedOut(2 * time.Second)
 		u.End(ResultFailed)
 		assert.Greater(t, patience(), before)
 	})
--- a/internal/pool/placed.go
+++ b/internal/pool/placed.go
@@ -21,7 +21,7 @@
 
 // PlaceFor chooses an upstream for a request of another node, and counts it there. It returns
 // the upstream's id, or nothing if there is none.
-func (p *Pools) PlaceFor(node string, n Need) string {
+func (p *Pools) PlaceFor(node string, n Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -29,8 +29,8 @@
 	if !ok {
 		return ""
 	}
-	p.limits.Take(now, v.member.entry.Lifetime(), n.Engine)
-	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Held: n.Prompt + n.Output}
+	p.limits.Take(now, v.member.entry.Incarnation(), n.Engine)
+	l := Load{Upstream: v.member.entry.ID, Running: 1, Queued: v.reads, Reserved: n.Prompt + n.Output}
 	p.pending = append(p.pending, pending{node: node, at: now, load: l})
 	p.place(now, v.member, n.Parts)
 	return l.Upstream
@@ -48,7 +48,7 @@
 }
 
 // Settle drops the requests that were placed for others and that the shares tell of by now.
-func (p *Pools) Settle(told func(node string, at time.Time) bool) {
+func (p *Pools) DropReported(told func(node string, at time.Time) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	left := p.pending[:0]
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,10 +16,10 @@
 const (
 	ResultGood        Result = iota
 	ResultFailed             // no whole answer, or an answer that says it failed
-	ResultRefused            // the upstream didn't run it
+	ResultRejected            // the upstream didn't run it
 	ResultUnreachable        // no connection could be made
-	ResultGone               // another upstream has its address
-	ResultUnclear            // it ended for reasons of the caller
+	ResultMisplaced               // another upstream has its address
+	ResultInconclusive            // it ended for reasons of the caller
 )
 
 // Load is what one node has at one upstream.
@@ -27,7 +27,7 @@
 	Upstream string
 	Running  int
 	Queued   float64 // prompt tokens without a first token
-	Held     float64 // tokens of memory
+	Reserved     float64 // tokens of memory
 }
 
 // Placement says that an upstream read a prompt prefix.
@@ -88,7 +88,7 @@
 	rank      int // among the target's upstreams of a roll-out; notRanked: none of these
 }
 
-type peerLoad struct {
+type peerReport struct {
 	at      time.Time
 	loads   map[string]Load
 	engines map[string]capacity.Engine
@@ -104,7 +104,7 @@
 	members  map[string]*member
 	services map[string][]*member
 	outliers map[string]*retry.Outliers
-	peers    map[string]peerLoad
+	peers    map[string]peerReport
 	shares   []shareLoad
 	covered  map[string]bool // the nodes that the shares tell of
 	shared   time.Time       // when they came
@@ -117,8 +117,8 @@
 	splits   map[string]Split                // by service
 	versions map[string]map[string]time.Time // when each was first seen, by service
 	filled   bool                            // the list has been read
-	rests    *retry.Rests                    // that upstreams have asked of this node
-	limits   *limit.Book                     // that upstreams name for all nodes together
+	rests    *retry.Cooldowns                    // that upstreams have asked of this node
+	limits   *limit.Tracker                     // that upstreams name for all nodes together
 }
 
 // service is what is known of one service.
@@ -134,7 +134,7 @@
 	lasts   float64     // milliseconds that a request takes, to its end
 	usual   float64     // time to a first event over the one expected, as answers lately had it; 0: none yet
 	lag     float64     // milliseconds by which first events lately come later than expected
-	turns   retry.Turns // of callers that are turned away while no upstream takes anything
+	turns   retry.ReturnSchedule // of callers that are turned away while no upstream takes anything
 }
 
 type placing struct {
@@ -147,8 +147,8 @@
 	return &Pools{
 		clock: clock, hall: hall, start: clock.Now(), list: NewList(), members: make(map[string]*member),
 		services: make(map[string][]*member), outliers: make(map[string]*retry.Outliers),
-		peers: make(map[string]peerLoad), known: make(map[string]*service), reached: make(map[string]time.Time),
-		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewRests(), limits: limit.NewBook(node),
+		peers: make(map[string]peerReport), known: make(map[string]*service), reached: make(map[string]time.Time),
+		told: make(map[string]time.Time), splits: make(map[string]Split), versions: make(map[string]map[string]time.Time), rests: retry.NewCooldowns(), limits: limit.NewTracker(node),
 	}
 }
 
@@ -174,10 +174,10 @@
 }
 
 // Change returns the store's revision of the list's newest change.
-func (p *Pools) Change() int64 {
+func (p *Pools) LastChange() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.list.Change()
+	return p.list.LastChange()
 }
 
 // Missing returns the upstreams that are believed though the store doesn't have them, and how many
@@ -246,8 +246,8 @@
 
 // forgetWords drops what a life has asked for that named no birth and is over: the next one may have its name.
 func (p *Pools) forgetWords(id string) {
-	p.rests.Forget(retry.Lifetime{ID: id})
-	p.limits.Forget(retry.Lifetime{ID: id})
+	p.rests.Forget(retry.Incarnation{ID: id})
+	p.limits.Forget(retry.Incarnation{ID: id})
 }
 
 // SetSize says what an engine of a service has.
@@ -342,7 +342,7 @@
 }
 
 // TakeIn takes in another node's report.
-func (p *Pools) TakeIn(node string, loads []Load, placed []Placement, engines map[string]capacity.Engine) {
+func (p *Pools) ApplyReport(node string, loads []Load, placed []Placement, engines map[string]capacity.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -350,7 +350,7 @@
 	for _, l := range loads {
 		m[l.Upstream] = l
 	}
-	p.peers[node] = peerLoad{at: now, loads: m, engines: engines}
+	p.peers[node] = peerReport{at: now, loads: m, engines: engines}
 	p.learnPlaced(now, placed)
 }
 
--- a/internal/pool/reach.go
+++ b/internal/pool/reach.go
@@ -39,59 +39,59 @@
 )
 
 // Unreached is an upstream that couldn't be reached.
-type Unreached struct {
+type UnreachableUpstream struct {
 	Upstream string
 	Born     int64         // of its life, as its entry says
 	Nodes    int           // that found so
 	Age      time.Duration // since the newest try
-	Gone     bool          // another upstream has its address: that is proof
+	Misplaced     bool          // another upstream has its address: that is proof
 }
 
 // Reach is what one node, or several, have found out lately.
-type Reach struct {
-	Unreached []Unreached
-	Answered  map[string]time.Duration // since an upstream last answered, by hall
+type Reachability struct {
+	Unreachable []UnreachableUpstream
+	LastResponse  map[string]time.Duration // since an upstream last answered, by hall
 }
 
 // Plus returns what both have found, where o is by so much older than it says.
-func (r Reach) Plus(o Reach, older time.Duration) Reach {
-	s := Reach{Unreached: slices.Clone(r.Unreached), Answered: maps.Clone(r.Answered)}
-	if s.Answered == nil {
-		s.Answered = make(map[string]time.Duration)
+func (r Reachability) Merge(o Reachability, older time.Duration) Reachability {
+	s := Reachability{Unreachable: slices.Clone(r.Unreachable), LastResponse: maps.Clone(r.LastResponse)}
+	if s.LastResponse == nil {
+		s.LastResponse = make(map[string]time.Duration)
 	}
-	for _, v := range o.Unreached {
+	for _, v := range o.Unreachable {
 		v.Age += older
-		i := slices.IndexFunc(s.Unreached, func(x Unreached) bool { return x.Upstream == v.Upstream && x.Born == v.Born })
+		i := slices.IndexFunc(s.Unreachable, func(x UnreachableUpstream) bool { return x.Upstream == v.Upstream && x.Born == v.Born })
 		if i < 0 {
-			s.Unreached = append(s.Unreached, v)
+			s.Unreachable = append(s.Unreachable, v)
 			continue
 		}
-		x := &s.Unreached[i]
-		x.Nodes, x.Age, x.Gone = x.Nodes+v.Nodes, min(x.Age, v.Age), x.Gone || v.Gone
+		x := &s.Unreachable[i]
+		x.Nodes, x.Age, x.Misplaced = x.Nodes+v.Nodes, min(x.Age, v.Age), x.Misplaced || v.Misplaced
 	}
-	for h, age := range o.Answered {
-		if old, ok := s.Answered[h]; !ok || age+older < old {
-			s.Answered[h] = age + older
+	for h, age := range o.LastResponse {
+		if old, ok := s.LastResponse[h]; !ok || age+older < old {
+			s.LastResponse[h] = age + older
 		}
 	}
 	return s
 }
 
 // Reach returns what this node has found out itself.
-func (p *Pools) Reach() Reach {
+func (p *Pools) Reachability() Reachability {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	r := Reach{Answered: make(map[string]time.Duration)}
+	r := Reachability{LastResponse: make(map[string]time.Duration)}
 	for id, m := range p.members {
 		if age := now.Sub(m.failed); m.gone || age < unreachableKeeps {
-			r.Unreached = append(r.Unreached, Unreached{Upstream: id, Born: m.entry.Born, Nodes: 1, Age: age, Gone: m.gone})
+			r.Unreachable = append(r.Unreachable, UnreachableUpstream{Upstream: id, Born: m.entry.Born, Nodes: 1, Age: age, Misplaced: m.gone})
 		}
 	}
-	slices.SortFunc(r.Unreached, func(a, b Unreached) int { return cmp.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(r.Unreachable, func(a, b UnreachableUpstream) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	for h, t := range p.reached {
 		if age := now.Sub(t); age < peerKeeps {
-			r.Answered[h] = age
+			r.LastResponse[h] = age
 		}
 	}
 	return r
@@ -99,17 +99,17 @@
 
 // TakeReach takes in what the other nodes of this hall have found out, and returns the halls
 // that are taken for cut off by it and weren't.
-func (p *Pools) TakeReach(r Reach) []string {
+func (p *Pools) ApplyReachability(r Reachability) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	tries := make(map[string]int)
-	for _, v := range r.Unreached {
+	for _, v := range r.Unreachable {
 		m := p.members[v.Upstream]
 		if m == nil || v.Born != m.entry.Born {
 			continue
 		}
-		m.gone = m.gone || v.Gone
+		m.gone = m.gone || v.Misplaced
 		at := now.Add(-v.Age)
 		if !m.answered.Before(at) {
 			continue // this node has reached it since
@@ -126,7 +126,7 @@
 	}
 	var cut []string
 	for h, n := range tries {
-		quiet, known := r.Answered[h]
+		quiet, known := r.LastResponse[h]
 		if n < cutTries || known && quiet < cutQuiet || now.Sub(p.reached[h]) < cutQuiet {
 			continue
 		}
--- a/internal/pool/reach_test.go
+++ b/internal/pool/reach_test.go
@@ -24,7 +24,7 @@
 func pickFrom(p *Pools, id string) *Use {
 	ex := map[string]bool{"a1": true, "a2": true, "b1": true, "b2": true}
 	delete(ex, id)
-	return p.Pick(Need{ID: "x", Service: "s", Excluded: ex})
+	return p.Pick(Request{ID: "x", Service: "s", Excluded: ex})
 }
 
 // assertHall checks in which halls ten requests, ended at once, are sent.
@@ -32,9 +32,9 @@
 	t.Helper()
 	seen := false
 	for i := 0; i < 10; i++ {
-		u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s", Excluded: map[string]bool{"a1": true, "b1": true}})
+		u := p.Pick(Request{ID: string(rune('a' + i)), Service: "s", Excluded: map[string]bool{"a1": true, "b1": true}})
 		seen = seen || u.Entry().Hall == avoided
-		u.End(ResultUnclear)
+		u.End(ResultInconclusive)
 	}
 	assert.Equal(t, want, seen)
 }
@@ -54,7 +54,7 @@
 	t.Run("two do", func(t *testing.T) {
 		p := cutPools(c)
 		fail(p, "a1", "a2")
-		p.TakeIn("n", nil, nil, nil)
+		p.ApplyReport("n", nil, nil, nil)
 		assertHall(t, p, "a", false)
 	})
 	t.Run("until one answers, or for a moment", func(t *testing.T) {
@@ -73,10 +73,10 @@
 
 // told is what other nodes of the hall have found: so many couldn't reach each upstream, a
 // tenth of a second ago.
-func told(nodes int, answered map[string]time.Duration, ids ...string) Reach {
-	r := Reach{Answered: answered}
+func told(nodes int, answered map[string]time.Duration, ids ...string) Reachability {
+	r := Reachability{LastResponse: answered}
 	for _, id := range ids {
-		r.Unreached = append(r.Unreached, Unreached{Upstream: id, Nodes: nodes, Age: 100 * time.Millisecond})
+		r.Unreachable = append(r.Unreachable, UnreachableUpstream{Upstream: id, Nodes: nodes, Age: 100 * time.Millisecond})
 	}
 	return r
 }
@@ -87,19 +87,19 @@
 	later := func(p *Pools) { c.Advance(cutQuiet + time.Second); p.Report() }
 	t.Run("one node's word isn't enough", func(t *testing.T) {
 		p := cutPools(c)
-		p.TakeReach(told(1, nil, "a1"))
+		p.ApplyReachability(told(1, nil, "a1"))
 		assertHall(t, p, "a", true)
 		long()
 		assert.Empty(t, p.Lost(nil))
 	})
 	t.Run("several nodes' is", func(t *testing.T) {
 		p := cutPools(c)
-		p.TakeReach(told(2, nil, "a1"))
+		p.ApplyReachability(told(2, nil, "a1"))
 		assert.Empty(t, p.Lost(nil), "it may be a cut")
 		for i := 0; i < 10; i++ {
-			u := p.Pick(Need{ID: string(rune('a' + i)), Service: "s"})
+			u := p.Pick(Request{ID: string(rune('a' + i)), Service: "s"})
 			assert.NotEqual(t, "a1", u.Entry().ID)
-			u.End(ResultUnclear)
+			u.End(ResultInconclusive)
 		}
 		long()
 		assert.Equal(t, map[string]bool{"a1": true}, p.Lost(nil))
@@ -107,15 +107,15 @@
 	t.Run("not where this node has reached it since", func(t *testing.T) {
 		p := cutPools(c)
 		pickFrom(p, "a1").Started()
-		p.TakeReach(told(5, nil, "a1"))
+		p.ApplyReachability(told(5, nil, "a1"))
 		long()
 		assert.Empty(t, p.Lost(nil))
 	})
 	t.Run("a hall that has answered nobody is cut off", func(t *testing.T) {
 		p := cutPools(c)
 		later(p)
-		assert.Equal(t, []string{"b"}, p.TakeReach(told(2, nil, "b1", "b2")))
-		assert.Empty(t, p.TakeReach(told(2, nil, "b1", "b2")), "it is told once")
+		assert.Equal(t, []string{"b"}, p.ApplyReachability(told(2, nil, "b1", "b2")))
+		assert.Empty(t, p.ApplyReachability(told(2, nil, "b1", "b2")), "it is told once")
 		assertHall(t, p, "b", false)
 		long()
 		assert.Empty(t, p.Lost(nil), "its upstreams serve their own hall")
@@ -123,17 +123,17 @@
 	})
 	t.Run("one that goes on answering somebody isn't", func(t *testing.T) {
 		p := cutPools(c)
-		assert.Empty(t, p.TakeReach(told(2, map[string]time.Duration{"b": 50 * time.Millisecond}, "b1", "b2")))
+		assert.Empty(t, p.ApplyReachability(told(2, map[string]time.Duration{"b": 50 * time.Millisecond}, "b1", "b2")))
 		assert.False(t, p.cutHalls(c.Service().Now())["b"])
 	})
 	t.Run("nor one that this node reaches", func(t *testing.T) {
 		p := cutPools(c)
 		pickFrom(p, "b1").Started()
-		assert.Empty(t, p.TakeReach(told(2, nil, "b2", "b2")))
+		assert.Empty(t, p.ApplyReachability(told(2, nil, "b2", "b2")))
 	})
 	t.Run("lost ones count again when they answer, or after a while", func(t *testing.T) {
 		p := cutPools(c)
-		p.TakeReach(told(2, nil, "a1", "a2"))
+		p.ApplyReachability(told(2, nil, "a1", "a2"))
 		long()
 		assert.Len(t, p.Lost(nil), 2)
 		c.Advance(time.Millisecond)
@@ -144,24 +144,24 @@
 	})
 	t.Run("another upstream at the address is proof", func(t *testing.T) {
 		p, q := cutPools(c), cutPools(c)
-		pickFrom(p, "a1").End(ResultGone)
-		q.TakeReach(p.Reach())
+		pickFrom(p, "a1").End(ResultMisplaced)
+		q.ApplyReachability(p.Reachability())
 		assert.Equal(t, map[string]bool{"a1": true}, q.Lost(nil))
 		assert.Nil(t, pickFrom(p, "a1"), "nothing goes there any more")
 		assert.Nil(t, pickFrom(q, "a1"), "nor from nodes that were told")
 	})
 	t.Run("a node tells what it has found itself only", func(t *testing.T) {
 		p := cutPools(c)
-		p.TakeReach(told(3, nil, "a1"))
-		assert.Empty(t, p.Reach().Unreached)
+		p.ApplyReachability(told(3, nil, "a1"))
+		assert.Empty(t, p.Reachability().Unreachable)
 		pickFrom(p, "b1").End(ResultUnreachable)
-		assert.Equal(t, "b1", p.Reach().Unreached[0].Upstream)
+		assert.Equal(t, "b1", p.Reachability().Unreachable[0].Upstream)
 	})
 }
 
 func TestReachAddsUp(t *testing.T) {
 	a := told(1, map[string]time.Duration{"b": time.Second}, "x", "y")
-	s := Reach{}.Plus(a, 0).Plus(told(1, map[string]time.Duration{"b": 200 * time.Millisecond}, "y"), 100*time.Millisecond)
-	assert.Equal(t, []Unreached{{Upstream: "x", Nodes: 1, Age: 100 * time.Millisecond}, {Upstream: "y", Nodes: 2, Age: 100 * time.Millisecond}}, s.Unreached)
-	assert.Equal(t, 300*time.Millisecond, s.Answered["b"])
+	s := Reachability{}.Merge(a, 0).Merge(told(1, map[string]time.Duration{"b": 200 * time.Millisecond}, "y"), 100*time.Millisecond)
+	assert.Equal(t, []UnreachableUpstream{{Upstream: "x", Nodes: 1, Age: 100 * time.Millisecond}, {Upstream: "y", Nodes: 2, Age: 100 * time.Millisecond}}, s.Unreachable)
+	assert.Equal(t, 300*time.Millisecond, s.LastResponse["b"])
 }
--- a/internal/pool/report_test.go
+++ b/internal/pool/report_test.go
@@ -22,7 +22,7 @@
 	for i := 0; i < upstreams*prefixes; i++ {
 		placed = append(placed, Placement{Prefix: uint64(i), Upstream: fmt.Sprint("u", i%upstreams)})
 	}
-	p.TakeShares(nil, nil, placed)
+	p.ApplyPeerLoads(nil, nil, placed)
 	return p
 }
 
--- a/internal/pool/says.go
+++ b/internal/pool/says.go
@@ -22,11 +22,11 @@
 // together, and they share it (package limit).
 
 // Lifetime names the life that the entry is of.
-func (e Entry) Lifetime() retry.Lifetime { return retry.Lifetime{ID: e.ID, Born: e.Born} }
+func (e Entry) Incarnation() retry.Incarnation { return retry.Incarnation{ID: e.ID, Born: e.Born} }
 
 // Leave takes in that an upstream has said itself that it leaves. It is the word of the life that
 // the entry names.
-func (l *List) Leave(e Entry) {
+func (l *List) MarkLeaving(e Entry) {
 	v, ok := l.items[e.ID]
 	if ok && v.Entry.another(e) {
 		return
@@ -57,39 +57,39 @@
 
 // Rest says that an upstream wants nothing from this node for so long, and returns whether that is
 // new.
-func (p *Pools) Rest(e Entry, d time.Duration) bool {
+func (p *Pools) StartCooldown(e Entry, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.Ask(p.clock.Now(), e.Lifetime(), d)
+	return p.rests.Start(p.clock.Now(), e.Incarnation(), d)
 }
 
 // HearLimit takes in what an upstream's answer, to a request that was sent at a time, says of a rate that it
 // takes from all nodes together, and returns whether that is news.
-func (p *Pools) HearLimit(e Entry, l call.Limit, sent time.Time) bool {
+func (p *Pools) ObserveLimit(e Entry, l call.Limit, sent time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	switch l.Word {
+	switch l.Status {
 	case call.LimitNamed:
-		return p.limits.Named(p.clock.Now(), sent, e.Lifetime(), l.Rate)
+		return p.limits.ObserveRate(p.clock.Now(), sent, e.Incarnation(), l.Rate)
 	case call.LimitNone:
-		return p.limits.Unnamed(p.clock.Now(), sent, e.Lifetime())
-	case call.LimitUnclear, call.LimitUnheard:
+		return p.limits.ObserveNoRate(p.clock.Now(), sent, e.Incarnation())
+	case call.LimitUnclear, call.LimitNoResponse:
 	}
 	return false
 }
 
 // TakeLimits takes in what another node knows of limits, and returns what is news.
-func (p *Pools) TakeLimits(words []limit.Word) []limit.Word {
+func (p *Pools) ApplyLimits(words []limit.Observation) []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Hear(p.clock.Now(), words)
+	return p.limits.Merge(p.clock.Now(), words)
 }
 
 // Limits returns what is known of limits, for other nodes.
-func (p *Pools) Limits() []limit.Word {
+func (p *Pools) Limits() []limit.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.Words(p.clock.Now())
+	return p.limits.Observations(p.clock.Now())
 }
 
 // SetSenders says which nodes share limits, and which of them place requests at engines for all others.
@@ -101,11 +101,11 @@
 
 // Ask tells whether an upstream may be asked something beside requests now, and counts the question against its
 // limit.
-func (p *Pools) Ask(e Entry) bool {
+func (p *Pools) AllowQuery(e Entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, l, engine := p.clock.Now(), e.Lifetime(), p.service(e.Service).size.Slots > 0
-	if p.rests.Left(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
+	now, l, engine := p.clock.Now(), e.Incarnation(), p.service(e.Service).size.Slots > 0
+	if p.rests.Wait(now, l) > 0 || p.limits.Wait(now, l, engine) > 0 {
 		return false
 	}
 	p.limits.Take(now, l, engine)
--- a/internal/pool/says_test.go
+++ b/internal/pool/says_test.go
@@ -24,7 +24,7 @@
 	said := func() *List {
 		l := NewList()
 		l.Put(lifeAt(5, 1, false))
-		l.Leave(Entry{ID: "a", Born: 5})
+		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		return l
 	}
 	t.Run("an entry that says ready", func(t *testing.T) {
@@ -48,7 +48,7 @@
 	})
 	t.Run("a word that comes while the entry is away", func(t *testing.T) {
 		l := NewList()
-		l.Leave(Entry{ID: "a", Born: 5})
+		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		l.Put(lifeAt(5, 1, false))
 		assert.True(t, leavingOf(l, "a"))
 	})
@@ -56,7 +56,7 @@
 		p := New(timer.NewManual(start).Service(), "self", "a")
 		e := Entry{ID: "a", Born: 5}
 		assert.False(t, p.Leaving(e))
-		p.Update(func(l *List) { l.Leave(e) })
+		p.Update(func(l *List) { l.MarkLeaving(e) })
 		assert.True(t, p.Leaving(e))
 		assert.False(t, p.Leaving(Entry{ID: "a", Born: 6}))
 	})
@@ -74,13 +74,13 @@
 	t.Run("a late word of the life before changes nothing", func(t *testing.T) {
 		l := said()
 		l.Put(lifeAt(6, 2, false))
-		l.Leave(Entry{ID: "a", Born: 5})
+		l.MarkLeaving(Entry{ID: "a", Born: 5})
 		assert.False(t, leavingOf(l, "a"))
 	})
 	t.Run("what is remembered of lives that are gone is bounded", func(t *testing.T) {
 		l := NewList()
 		for i := range 3 * idsKept {
-			l.Leave(Entry{ID: string(rune(i)), Born: 1})
+			l.MarkLeaving(Entry{ID: string(rune(i)), Born: 1})
 		}
 		assert.LessOrEqual(t, len(l.dropped), idsKept)
 	})
@@ -90,7 +90,7 @@
 func rest(p *Pools, id string, d time.Duration) {
 	for _, v := range p.Items() {
 		if v.Entry.ID == id {
-			p.Rest(v.Entry, d)
+			p.StartCooldown(v.Entry, d)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	picks := func(p *Pools, id string) bool {
 		u := pickFrom(p, id)
 		if u != nil {
-			u.End(ResultUnclear)
+			u.End(ResultInconclusive)
 		}
 		return u != nil
 	}
@@ -127,7 +127,7 @@
 	t.Run("a relay's word doesn't go past it", func(t *testing.T) {
 		_, p := newPools()
 		rest(p, "a1", time.Second)
-		u := p.PickAt(Need{ID: "x", Service: "s"}, "a1")
+		u := p.PickAt(Request{ID: "x", Service: "s"}, "a1")
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
 	t.Run("nor is it the last resort when all others are ejected", func(t *testing.T) {
@@ -138,13 +138,13 @@
 				pickFrom(p, id).End(ResultFailed)
 			}
 		}
-		u := p.Pick(Need{ID: "x", Service: "s"})
+		u := p.Pick(Request{ID: "x", Service: "s"})
 		assert.NotEqual(t, "a1", u.Entry().ID)
 	})
 	t.Run("an entry that lapses and comes again rests on", func(t *testing.T) {
 		_, p := newPools()
 		u := pickFrom(p, "a1")
-		p.Rest(u.Entry(), 3*time.Second)
+		p.StartCooldown(u.Entry(), 3*time.Second)
 		p.Update(func(l *List) { l.Delete(start, "a1") })
 		p.Update(func(l *List) { l.Put(Item{Entry: u.Entry(), Revision: 9}) })
 		assert.False(t, picks(p, "a1"))
@@ -162,14 +162,14 @@
 	t.Run("when all rest, the time to the first one's end is told", func(t *testing.T) {
 		c, p := newPools()
 		for i, id := range []string{"a1", "a2", "b1", "b2"} {
-			assert.Zero(t, p.ComeBack("s"))
+			assert.Zero(t, p.RetryAfter("s"))
 			rest(p, id, time.Duration(i+2)*time.Second)
 		}
-		assert.Equal(t, 2*time.Second, p.ComeBack("s"))
+		assert.Equal(t, 2*time.Second, p.RetryAfter("s"))
 		c.Advance(1500 * time.Millisecond)
-		assert.Equal(t, 500*time.Millisecond, p.ComeBack("s"))
+		assert.Equal(t, 500*time.Millisecond, p.RetryAfter("s"))
 		c.Advance(500 * time.Millisecond)
-		assert.Zero(t, p.ComeBack("s"))
+		assert.Zero(t, p.RetryAfter("s"))
 	})
 }
 
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -40,7 +40,7 @@
 	clear(l.gets)
 	for until := l.clock.Service().Now().Add(d); l.clock.Service().Now().Before(until); {
 		l.n++
-		n := Need{ID: fmt.Sprint("r", l.n), Service: "s"}
+		n := Request{ID: fmt.Sprint("r", l.n), Service: "s"}
 		if l.engine {
 			n.Engine, n.Prompt, n.Output, n.Parts = true, 600, 10, []call.Part{{ID: uint64(l.n), Tokens: 600}}
 		}
@@ -55,7 +55,7 @@
 
 // stall lets one answer of an upstream take that long.
 func (l *calm) stall(id string, d time.Duration) {
-	n := Need{ID: "stall", Service: "s", Engine: l.engine, Excluded: make(map[string]bool)}
+	n := Request{ID: "stall", Service: "s", Engine: l.engine, Excluded: make(map[string]bool)}
 	for v := range l.takes {
 		n.Excluded[v] = v != id
 	}
--- a/internal/pool/split.go
+++ b/internal/pool/split.go
@@ -25,8 +25,8 @@
 type Split struct {
 	Target   string          // version that is rolled out; empty: none
 	ToTarget bool            // what isn't on trial goes to the target, if any of it is there
-	AsLast   bool            // the target takes what isn't on trial if nothing else is there
-	Trials   int             // upstreams of the target that take requests on trial
+	TargetAsFallback   bool            // the target takes what isn't on trial if nothing else is there
+	TrialUpstreams   int             // upstreams of the target that take requests on trial
 	Barred   map[string]bool // versions that take nothing
 }
 
@@ -82,21 +82,21 @@
 
 // serves tells whether a member's version takes a request. Where it is too new to be known,
 // only serves as a spare.
-func (p *Pools) serves(now time.Time, m *member, n Need) (takes, spare bool) {
+func (p *Pools) serves(now time.Time, m *member, n Request) (takes, spare bool) {
 	s, v := p.splits[n.Service], m.entry.Version
 	target := s.Target != "" && v == s.Target
 	switch {
 	case s.Barred[v]:
 		return false, false
 	case n.Trial:
-		return target && m.rank >= 0 && m.rank < s.Trials, false
+		return target && m.rank >= 0 && m.rank < s.TrialUpstreams, false
 	case s.Target == "":
 		early := now.Sub(p.versions[n.Service][v]) < versionGrace
 		return !early, early
 	case s.ToTarget:
 		return target, !target
 	}
-	return !target, target && s.AsLast
+	return !target, target && s.TargetAsFallback
 }
 
 // Versions counts the upstreams of a service that take requests and are of a version, those
--- a/internal/pool/state.go
+++ b/internal/pool/state.go
@@ -12,13 +12,13 @@
 type State struct {
 	Entry     Entry
 	Misplaced bool          // another upstream has its address
-	Rest      time.Duration // how long it gets nothing from this node; 0: it may
+	Cooldown      time.Duration // how long it gets nothing from this node; 0: it may
 	Limited   bool          // it names a rate for all nodes together
 	Rate      float64       // requests a second
 	LimitAge  time.Duration // since it last said so
 	Share     float64       // requests a second of this node's; 0: others may send there
 	Slowness  float64       // times as long as usual that its answers are believed to take
-	Unreached time.Duration // since it couldn't be reached; negative: it could, or that was too long ago to count
+	UnreachableAge time.Duration // since it couldn't be reached; negative: it could, or that was too long ago to count
 	Running   int           // requests of this node there
 }
 
@@ -40,13 +40,13 @@
 }
 
 func (p *Pools) state(now time.Time, m *member) State {
-	l := m.entry.Lifetime()
-	s := State{Entry: m.entry, Misplaced: m.gone, Rest: p.rests.Left(now, l), Slowness: m.pace.slowness(now), Unreached: -1, Running: m.load.Running}
-	if w, share, named := p.limits.Look(now, l); named {
+	l := m.entry.Incarnation()
+	s := State{Entry: m.entry, Misplaced: m.gone, Cooldown: p.rests.Wait(now, l), Slowness: m.pace.slowness(now), UnreachableAge: -1, Running: m.load.Running}
+	if w, share, named := p.limits.Lookup(now, l); named {
 		s.Limited, s.Rate, s.LimitAge, s.Share = true, w.Rate, now.Sub(w.At), share
 	}
 	if d := now.Sub(m.silent); d < unreachableKeeps {
-		s.Unreached = d
+		s.UnreachableAge = d
 	}
 	return s
 }
--- a/internal/pool/unborn_test.go
+++ b/internal/pool/unborn_test.go
@@ -18,7 +18,7 @@
 	left := func() *List {
 		l := NewList()
 		l.Replace(start, 1, []Item{lifeAt(0, 1, false)})
-		l.Leave(lifeAt(0, 1, false).Entry)
+		l.MarkLeaving(lifeAt(0, 1, false).Entry)
 		return l
 	}
 	for name, born := range map[string]int64{"which names none either": 0, "which names one": 7} {
@@ -50,11 +50,11 @@
 		l.Put(lifeAt(7, 2, false))
 		assert.False(t, leavingOf(l, "a"))
 		t.Run("of which a word of the one before says nothing", func(t *testing.T) {
-			l.Leave(lifeAt(0, 1, false).Entry)
+			l.MarkLeaving(lifeAt(0, 1, false).Entry)
 			assert.False(t, leavingOf(l, "a"))
 		})
 		t.Run("and an entry without one that comes after it is of the life held", func(t *testing.T) {
-			l.Leave(lifeAt(7, 2, false).Entry)
+			l.MarkLeaving(lifeAt(7, 2, false).Entry)
 			l.Put(lifeAt(0, 3, false))
 			assert.True(t, leavingOf(l, "a"))
 		})
@@ -63,13 +63,13 @@
 		l := NewList()
 		l.Put(lifeAt(0, 1, true))
 		l.Put(lifeAt(0, 2, false))
-		l.Leave(lifeAt(0, 1, false).Entry)
+		l.MarkLeaving(lifeAt(0, 1, false).Entry)
 		assert.False(t, leavingOf(l, "a"))
 	})
 	t.Run("who is told by others of the next life believes it", func(t *testing.T) {
 		told := NewList()
 		told.Put(lifeAt(0, 1, false))
-		told.Leave(lifeAt(0, 1, false).Entry)
+		told.MarkLeaving(lifeAt(0, 1, false).Entry)
 		l := left()
 		l.Delete(start, "a")
 		l.Expire(start.Add(lapseGrace))
@@ -79,7 +79,7 @@
 		told.Put(word)
 		assert.False(t, leavingOf(told, "a"))
 		t.Run("and goes on doing so when the store tells of it", func(t *testing.T) {
-			l.Items(func(v Item) { told.Leave(v.Entry) })
+			l.Items(func(v Item) { told.MarkLeaving(v.Entry) })
 			told.Put(lifeAt(0, 6, false))
 			assert.True(t, leavingOf(told, "a"))
 		})
@@ -130,22 +130,22 @@
 	c := timer.NewManual(start)
 	p := New(c.Service(), "self", "h")
 	p.Update(func(l *List) { l.Put(lifeAt(0, 1, false)) })
-	u := p.Pick(Need{ID: "x", Service: "s"})
-	p.HearLimit(u.Entry(), call.Limit{Word: call.LimitNamed, Rate: 1}, start)
-	p.Rest(u.Entry(), time.Hour)
-	u.End(ResultGone)
+	u := p.Pick(Request{ID: "x", Service: "s"})
+	p.ObserveLimit(u.Entry(), call.Limit{Status: call.LimitNamed, Rate: 1}, start)
+	p.StartCooldown(u.Entry(), time.Hour)
+	u.End(ResultMisplaced)
 	p.Update(func(l *List) { l.Put(lifeAt(0, 2, true)) })
-	assert.Nil(t, p.Pick(Need{ID: "x", Service: "s"}))
+	assert.Nil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	p.Update(func(l *List) { l.Put(lifeAt(0, 3, false)) })
-	v := p.Pick(Need{ID: "x", Service: "s"})
+	v := p.Pick(Request{ID: "x", Service: "s"})
 	if assert.NotNil(t, v, "its address is its own again, and it asked for no rest") {
 		assert.Equal(t, 0, v.Choice().Running)
 	}
 	t.Run("also after it was away", func(t *testing.T) {
-		p.Rest(v.Entry(), time.Hour)
+		p.StartCooldown(v.Entry(), time.Hour)
 		p.Update(func(l *List) { l.Delete(start, "a") })
 		p.Update(func(l *List) { l.Expire(start.Add(lapseGrace)) })
 		p.Update(func(l *List) { l.Put(lifeAt(0, 4, false)) })
-		assert.NotNil(t, p.Pick(Need{ID: "x", Service: "s"}))
+		assert.NotNil(t, p.Pick(Request{ID: "x", Service: "s"}))
 	})
 }
--- a/internal/pool/unseen.go
+++ b/internal/pool/unseen.go
@@ -32,7 +32,7 @@
 	}
 	requests := running * age / s.lasts / float64(len(members))
 	if s.reads > 0 {
-		return s.engine.Read(requests * s.reads)
+		return s.engine.PrefillTime(requests * s.reads)
 	}
 	return requests * plainFull * s.answer / float64(max(members[0].entry.Slots, 1))
 }
--- a/internal/pool/use.go
+++ b/internal/pool/use.go
@@ -45,7 +45,7 @@
 	Slowness   float64       // times as long as usual that its answers are taken to last
 	Revision   int64         // of the list
 	ByRelay    bool          // a relay chose it
-	Oldest     time.Duration // age of the oldest report of another node that counted
+	OldestReport     time.Duration // age of the oldest report of another node that counted
 }
 
 // Choice returns what the upstream was chosen by.
@@ -93,7 +93,7 @@
 	switch {
 	case u.untried:
 	case u.engine && u.fetch == "":
-		s.learner.First(u.first, u.reads, after)
+		s.learner.ObserveFirst(u.first, u.reads, after)
 	case !u.engine:
 		s.answer += answerGain * (ms - s.answer)
 	}
@@ -111,14 +111,14 @@
 // Patience is the silence after which the upstream is out of line with the service's others.
 // While all of them lag, a request that is begun anew waits elsewhere as long, and its prompt
 // is read twice when there is least to spare.
-func (u *Use) Patience() time.Duration {
+func (u *Use) WaitLimit() time.Duration {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
 	return time.Duration((u.expect + outOfLine*u.p.service(u.entry.Service).lag) * float64(time.Millisecond))
 }
 
 // GivenUp says that the use is given up after that silence: its upstream is that late at least.
-func (u *Use) GivenUp(after time.Duration) {
+func (u *Use) TimedOut(after time.Duration) {
 	u.p.mu.Lock()
 	defer u.p.mu.Unlock()
 	u.p.service(u.entry.Service).lags(float64(after)/float64(time.Millisecond) - u.expect)
@@ -147,7 +147,7 @@
 		u.learn()
 	}
 	u.m.load.Running--
-	u.m.load.Held -= u.held
+	u.m.load.Reserved -= u.held
 	u.judge(r)
 }
 
@@ -156,7 +156,7 @@
 	s, now := u.p.service(u.entry.Service), u.p.clock.Now()
 	s.lasts += answerGain * (float64(now.Sub(u.begun))/float64(time.Millisecond) - s.lasts)
 	if u.engine && !u.first.IsZero() && !u.untried {
-		s.learner.Last(u.output, now.Sub(u.first))
+		s.learner.ObserveRest(u.output, now.Sub(u.first))
 	}
 }
 
@@ -168,18 +168,18 @@
 		*untaken -= d
 		*work += x - d
 	}
-	less(&s.work.Reading, &s.untaken.Reading, w.Reading)
+	less(&s.work.Prefill, &s.untaken.Prefill, w.Prefill)
 	less(&s.work.Slots, &s.untaken.Slots, w.Slots)
 	less(&s.work.Memory, &s.untaken.Memory, w.Memory)
 }
 
 func (u *Use) judge(r Result) {
-	if u.turn && (r == ResultUnreachable || r == ResultGone) {
-		u.p.limits.Return(u.entry.Lifetime())
+	if u.turn && (r == ResultUnreachable || r == ResultMisplaced) {
+		u.p.limits.Return(u.entry.Incarnation())
 	}
-	if r == ResultUnreachable || r == ResultRefused || r == ResultGone {
+	if r == ResultUnreachable || r == ResultRejected || r == ResultMisplaced {
 		s := u.p.service(u.entry.Service)
-		s.untaken = s.untaken.Plus(u.work)
+		s.untaken = s.untaken.Add(u.work)
 	}
 	o := u.p.outlier(u.m.entry.Service)
 	now, id := u.p.clock.Now(), u.m.entry.ID
@@ -190,17 +190,17 @@
 	case ResultFailed:
 		o.Failure(now.Sub(u.p.start), id, len(u.p.services[u.m.entry.Service]))
 		u.m.failures += failureGain * (1 - u.m.failures)
-	case ResultRefused:
-		o.Unclear(now.Sub(u.p.start), id)
+	case ResultRejected:
+		o.Inconclusive(now.Sub(u.p.start), id)
 		u.m.refused = now
 	case ResultUnreachable:
 		o.Failure(now.Sub(u.p.start), id, len(u.p.services[u.m.entry.Service]))
 		u.m.failures += failureGain * (1 - u.m.failures)
 		u.m.silent, u.m.failed = now, now
-	case ResultGone:
-		o.Unclear(now.Sub(u.p.start), id)
+	case ResultMisplaced:
+		o.Inconclusive(now.Sub(u.p.start), id)
 		u.m.gone = true
-	case ResultUnclear:
-		o.Unclear(now.Sub(u.p.start), id)
+	case ResultInconclusive:
+		o.Inconclusive(now.Sub(u.p.start), id)
 	}
 }
--- a/internal/pool/work_test.go
+++ b/internal/pool/work_test.go
@@ -16,7 +16,7 @@
 	p := fetchPoolsAt(c)
 	last := 0.0
 	reading := func() float64 {
-		w := p.Work()["s"].Reading
+		w := p.Work()["s"].Prefill
 		assert.GreaterOrEqual(t, w, last, "a sum that falls belongs to a new process")
 		last = w
 		return w
@@ -30,7 +30,7 @@
 	}
 	try(1, ResultGood)
 	one := reading()
-	for _, r := range []Result{ResultUnreachable, ResultRefused, ResultGone} {
+	for _, r := range []Result{ResultUnreachable, ResultRejected, ResultMisplaced} {
 		try(2, r)
 		reading()
 	}
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -12,7 +12,7 @@
 	// Proof is how many upstreams have to have ended under a request. Two aren't enough: a
 	// request whose upstream ended by chance is sent again at once, in a wave to one that is
 	// about to end.
-	Proof = 3
+	CrashThreshold = 3
 	// holdFirst is how long a request is held back for the first time, and holdLongest at
 	// most; each end after that doubles it. With spread it stays under a minute for one that
 	// is held back wrongly.
@@ -41,21 +41,21 @@
 )
 
 // End is the end of an upstream, as one request saw it.
-type End struct {
-	Print    Print
+type Crash struct {
+	Fingerprint    Fingerprint
 	Upstream string
 	At       time.Time // when the request's connection broke
 }
 
 // same tells whether both are one end of one upstream. An upstream may come back under its
 // id, and end again.
-func (e End) same(o End) bool {
+func (e Crash) same(o Crash) bool {
 	return e.Upstream == o.Upstream && e.At.Sub(o.At).Abs() < sameWithin
 }
 
 // suspect is a request under which upstreams ended.
 type suspect struct {
-	ends    []End     // by time
+	ends    []Crash     // by time
 	changed time.Time // when the newest of this was learned
 	cleared time.Time // when it was last answered; ends from before don't count
 	until   time.Time // it is held back until then; zero: it isn't
@@ -63,12 +63,12 @@
 }
 
 // Book is what one process knows of such requests.
-type Book struct {
+type Tracker struct {
 	node string
 	size atomic.Int64 // suspects, readable without the lock
 
 	mu       sync.Mutex
-	suspects map[Print]*suspect
+	suspects map[Fingerprint]*suspect
 	families map[Shape]*family
 	alike    []Change // of what is held back by its shape, not returned yet
 	held     int64    // changes of what is held back
@@ -76,22 +76,22 @@
 }
 
 // NewBook returns an empty book of a node.
-func NewBook(node string) *Book {
-	return &Book{node: node, suspects: make(map[Print]*suspect), families: make(map[Shape]*family)}
+func NewTracker(node string) *Tracker {
+	return &Tracker{node: node, suspects: make(map[Fingerprint]*suspect), families: make(map[Shape]*family)}
 }
 
 // Change is that a request is held back from now on, or isn't any more.
 type Change struct {
-	Print     Print
-	Held      bool
+	Fingerprint     Fingerprint
+	Quarantined      bool
 	Until     time.Time
 	Upstreams []string // that ended under it
-	Alike     bool     // all requests of its shape, and not just it
+	ByShape     bool     // all requests of its shape, and not just it
 }
 
 // Knows tells whether ends were seen under a request of that shape. Most processes know of
 // none, which costs no lock.
-func (b *Book) Knows(r func() Shape) bool {
+func (b *Tracker) HasCrashes(r func() Shape) bool {
 	if b.size.Load() == 0 {
 		return false
 	}
@@ -102,7 +102,7 @@
 }
 
 // Ends returns how many ends were seen under a request.
-func (b *Book) Ends(p Print) int {
+func (b *Tracker) CrashCount(p Fingerprint) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.suspects[p]; s != nil {
@@ -112,7 +112,7 @@
 }
 
 // Broke takes in an end that this process saw.
-func (b *Book) Broke(now time.Time, e End) []Change {
+func (b *Tracker) ObserveCrash(now time.Time, e Crash) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(now, e)
@@ -120,10 +120,10 @@
 }
 
 // add takes in an end, and tells whether it is news.
-func (b *Book) add(now time.Time, e End) bool {
-	s := b.suspects[e.Print]
+func (b *Tracker) add(now time.Time, e Crash) bool {
+	s := b.suspects[e.Fingerprint]
 	if s == nil {
-		s = b.open(now, e.Print)
+		s = b.open(now, e.Fingerprint)
 	}
 	if e.At.Before(s.cleared.Add(sameWithin)) {
 		return false // it may be an end from before the answer, told late
@@ -132,7 +132,7 @@
 		return false
 	}
 	s.ends = append(s.ends, e)
-	slices.SortFunc(s.ends, func(a, b End) int { return a.At.Compare(b.At) })
+	slices.SortFunc(s.ends, func(a, b Crash) int { return a.At.Compare(b.At) })
 	if len(s.ends) > endsLimit {
 		s.ends = slices.Delete(s.ends, 0, 1)
 	}
@@ -142,12 +142,12 @@
 }
 
 // addAlike counts an end against all requests of its shape.
-func (b *Book) addAlike(e End) {
-	f := b.families[e.Print.Shape()]
+func (b *Tracker) addAlike(e Crash) {
+	f := b.families[e.Fingerprint.Shape()]
 	if !f.add(e) {
 		return
 	}
-	c := Change{Print: e.Print, Held: true, Until: f.until(), Alike: true}
+	c := Change{Fingerprint: e.Fingerprint, Quarantined: true, Until: f.until(), ByShape: true}
 	for _, v := range f.ends {
 		c.Upstreams = append(c.Upstreams, v.Upstream)
 	}
@@ -155,13 +155,13 @@
 }
 
 // touch notes that something was learned of a request.
-func (b *Book) touch(now time.Time, s *suspect) {
+func (b *Tracker) touch(now time.Time, s *suspect) {
 	s.changed = now
-	b.stale = b.stale || len(s.ends) >= Proof || !s.until.IsZero()
+	b.stale = b.stale || len(s.ends) >= CrashThreshold || !s.until.IsZero()
 }
 
 // open begins to remember a request, in the place of the one that says least if need be.
-func (b *Book) open(now time.Time, p Print) *suspect {
+func (b *Tracker) open(now time.Time, p Fingerprint) *suspect {
 	if len(b.suspects) >= suspectsLimit {
 		b.evict(now)
 	}
@@ -179,8 +179,8 @@
 
 // evict makes room: it forgets what has lapsed and, if that is too little, the requests that
 // have the fewest ends, of these the ones that were heard of the longest ago.
-func (b *Book) evict(now time.Time) {
-	list := make([]Print, 0, len(b.suspects))
+func (b *Tracker) evict(now time.Time) {
+	list := make([]Fingerprint, 0, len(b.suspects))
 	for p, s := range b.suspects {
 		if s.lapsed(now) {
 			b.drop(p)
@@ -188,7 +188,7 @@
 		}
 		list = append(list, p)
 	}
-	slices.SortFunc(list, func(x, y Print) int {
+	slices.SortFunc(list, func(x, y Fingerprint) int {
 		v, w := b.suspects[x], b.suspects[y]
 		return cmp.Or(cmp.Compare(len(v.ends), len(w.ends)), v.changed.Compare(w.changed))
 	})
@@ -207,7 +207,7 @@
 	return now.Sub(s.changed) > suspectKeeps
 }
 
-func (b *Book) drop(p Print) {
+func (b *Tracker) drop(p Fingerprint) {
 	delete(b.suspects, p)
 	f := b.families[p.Shape()]
 	if f.suspects--; f.suspects == 0 {
@@ -218,29 +218,29 @@
 
 // Answered takes in that a request was answered whole: whatever ended before, it wasn't its
 // doing.
-func (b *Book) Answered(now time.Time, p Print) []Change {
+func (b *Tracker) ObserveResponse(now time.Time, p Fingerprint) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.clear(now, p, now)
-	b.clearAlike(Answer{p, now})
+	b.clearAlike(Response{p, now})
 	return b.settle()
 }
 
 // clearAlike takes in that a request was answered: others of its shape aren't held back for what ended
 // before.
-func (b *Book) clearAlike(a Answer) {
-	if f := b.families[a.Print.Shape()]; f != nil && f.answer(a) {
-		b.alike = append(b.alike, Change{Print: a.Print, Alike: true})
+func (b *Tracker) clearAlike(a Response) {
+	if f := b.families[a.Fingerprint.Shape()]; f != nil && f.answer(a) {
+		b.alike = append(b.alike, Change{Fingerprint: a.Fingerprint, ByShape: true})
 	}
 }
 
-func (b *Book) clear(now time.Time, p Print, at time.Time) bool {
+func (b *Tracker) clear(now time.Time, p Fingerprint, at time.Time) bool {
 	s := b.suspects[p]
 	if s == nil || at.Sub(s.cleared) < sameWithin {
 		return false
 	}
 	s.cleared = at
 	b.touch(now, s)
-	s.ends = slices.DeleteFunc(s.ends, func(e End) bool { return e.At.Before(at.Add(sameWithin)) })
+	s.ends = slices.DeleteFunc(s.ends, func(e Crash) bool { return e.At.Before(at.Add(sameWithin)) })
 	return true
 }
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -14,20 +14,20 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func printOf(body string) Print { return PrintOf(Request{Body: []byte(body)}) }
+func printOf(body string) Fingerprint { return FingerprintOf(Request{Body: []byte(body)}) }
 
 // world is a book with a clock.
 type world struct {
-	b   *Book
+	b   *Tracker
 	now time.Duration
 }
 
-func newWorld() *world { return &world{b: NewBook("n")} }
+func newWorld() *world { return &world{b: NewTracker("n")} }
 
 // broke ends an upstream under requests that have begun to run there.
 func (w *world) broke(upstream string, bodies ...string) {
 	for _, v := range bodies {
-		w.b.Broke(at(w.now), End{Print: printOf(v), Upstream: upstream, At: at(w.now)})
+		w.b.ObserveCrash(at(w.now), Crash{Fingerprint: printOf(v), Upstream: upstream, At: at(w.now)})
 	}
 }
 
@@ -36,24 +36,24 @@
 func (w *world) assertHeld(t *testing.T, held bool, bodies ...string) {
 	t.Helper()
 	for _, v := range bodies {
-		assert.Equal(t, held, w.check(v).Held, v)
+		assert.Equal(t, held, w.check(v).Quarantined, v)
 	}
 }
 
 func TestHeldByProof(t *testing.T) {
 	w := newWorld()
-	for i := range Proof {
+	for i := range CrashThreshold {
 		w.assertHeld(t, false, "x")
 		w.broke(fmt.Sprint("u", i), "x")
 		w.now += time.Second
 	}
 	w.assertHeld(t, true, "x")
 	w.assertHeld(t, false, "y")
-	assert.Equal(t, Proof, w.check("x").Upstreams)
+	assert.Equal(t, CrashThreshold, w.check("x").Upstreams)
 	assert.Greater(t, w.check("x").Wait, holdFirst-5*time.Second)
 	t.Run("no memory is used for those that weren't there", func(t *testing.T) {
-		assert.True(t, w.b.Knows(func() Shape { return ShapeOf(Request{Body: []byte("x")}) }))
-		assert.False(t, w.b.Knows(func() Shape { return ShapeOf(Request{Body: []byte("other")}) }))
+		assert.True(t, w.b.HasCrashes(func() Shape { return ShapeOf(Request{Body: []byte("x")}) }))
+		assert.False(t, w.b.HasCrashes(func() Shape { return ShapeOf(Request{Body: []byte("other")}) }))
 	})
 }
 
@@ -66,7 +66,7 @@
 		w.now += 100 * time.Millisecond
 	}
 	w.assertHeld(t, false, "x")
-	for range Proof - 1 {
+	for range CrashThreshold - 1 {
 		w.now += 4 * time.Second
 		w.broke("u", "x")
 	}
@@ -83,16 +83,16 @@
 	}
 	t.Run("it was answered since", func(t *testing.T) {
 		w := newWorld()
-		ends(w, Proof-1, "x")
-		w.b.Answered(at(w.now), printOf("x"))
+		ends(w, CrashThreshold-1, "x")
+		w.b.ObserveResponse(at(w.now), printOf("x"))
 		w.now += sameWithin
 		w.broke("u7", "x")
 		w.assertHeld(t, false, "x")
 	})
 	t.Run("two that end upstreams are both held back", func(t *testing.T) {
 		w := newWorld()
-		ends(w, Proof+2, "x")
-		for i := range Proof {
+		ends(w, CrashThreshold+2, "x")
+		for i := range CrashThreshold {
 			w.broke(fmt.Sprint("v", i), "y")
 		}
 		w.assertHeld(t, true, "x", "y")
@@ -105,7 +105,7 @@
 func TestLetThroughAgain(t *testing.T) {
 	held := func() *world {
 		w := newWorld()
-		for i := range Proof {
+		for i := range CrashThreshold {
 			w.broke(fmt.Sprint("u", i), "x")
 		}
 		w.now += holdFirst - time.Millisecond
@@ -115,28 +115,28 @@
 	}
 	t.Run("one at a time", func(t *testing.T) {
 		w := held()
-		assert.True(t, w.check("x").Trial)
+		assert.True(t, w.check("x").Probe)
 		w.assertHeld(t, true, "x")
 	})
 	t.Run("nor while another node's is under way", func(t *testing.T) {
 		w := held()
-		other := NewBook("other")
-		other.Hear(at(0), w.b.Words(at(0)))
+		other := NewTracker("other")
+		other.Merge(at(0), w.b.BuildUpdate(at(0)))
 		w.check("x")
-		other.Hear(at(w.now), w.b.Words(at(w.now)))
+		other.Merge(at(w.now), w.b.BuildUpdate(at(w.now)))
 		v := other.Check(at(w.now), printOf("x"))
-		assert.True(t, v.Held)
+		assert.True(t, v.Quarantined)
 		assert.LessOrEqual(t, v.Wait, trialTakes)
-		assert.Empty(t, w.b.Hear(at(w.now), other.Words(at(w.now))), "it isn't news to who told it")
+		assert.Empty(t, w.b.Merge(at(w.now), other.BuildUpdate(at(w.now))), "it isn't news to who told it")
 		w.now += trialTakes
-		assert.True(t, other.Check(at(w.now), printOf("x")).Trial)
+		assert.True(t, other.Check(at(w.now), printOf("x")).Probe)
 	})
 	t.Run("answered", func(t *testing.T) {
 		w := held()
 		w.check("x")
-		c := w.b.Answered(at(w.now), printOf("x"))
+		c := w.b.ObserveResponse(at(w.now), printOf("x"))
 		assert.Len(t, c, 1)
-		assert.False(t, c[0].Held)
+		assert.False(t, c[0].Quarantined)
 		w.assertHeld(t, false, "x")
 	})
 	t.Run("another end", func(t *testing.T) {
@@ -144,7 +144,7 @@
 		w.check("x")
 		w.broke("u8", "x")
 		v := w.check("x")
-		assert.True(t, v.Held)
+		assert.True(t, v.Quarantined)
 		assert.GreaterOrEqual(t, v.Wait, 2*holdFirst)
 	})
 	t.Run("never longer than the longest", func(t *testing.T) {
@@ -158,10 +158,10 @@
 	})
 	t.Run("nodes at moments of their own", func(t *testing.T) {
 		w, turns := held(), map[time.Duration]bool{}
-		said := w.b.Words(at(0))
+		said := w.b.BuildUpdate(at(0))
 		for i := range 8 {
-			b := NewBook(fmt.Sprint("n", i))
-			b.Hear(at(0), said)
+			b := NewTracker(fmt.Sprint("n", i))
+			b.Merge(at(0), said)
 			turns[b.Check(at(0), printOf("x")).Wait] = true
 		}
 		assert.Len(t, turns, 8)
@@ -177,7 +177,7 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type word struct {
-			w  Words
+			w  Update
 			at time.Duration
 		}
 		var words []word
@@ -185,36 +185,36 @@
 			v := word{at: time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * grid}
 			p := printOf(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "print"))
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
-				v.w.Answers = []Answer{{p, at(v.at)}}
+				v.w.Responses = []Response{{p, at(v.at)}}
 			} else {
 				u := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "upstream")
-				v.w.Ends = []End{{Print: p, Upstream: u, At: at(v.at)}}
+				v.w.Crashes = []Crash{{Fingerprint: p, Upstream: u, At: at(v.at)}}
 			}
 			words = append(words, v)
 		}
 		now := at(121 * time.Second)
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "order")))
-		tell := func() *Book {
-			b := NewBook("n")
+		tell := func() *Tracker {
+			b := NewTracker("n")
 			for range 2 {
 				r.Shuffle(len(words), func(i, j int) { words[i], words[j] = words[j], words[i] })
 				for _, v := range words {
 					late := time.Duration(r.Intn(300)) * time.Millisecond
-					w := Words{Ends: append([]End(nil), v.w.Ends...), Answers: append([]Answer(nil), v.w.Answers...)}
-					for i := range w.Ends {
-						w.Ends[i].At = w.Ends[i].At.Add(late)
+					w := Update{Crashes: append([]Crash(nil), v.w.Crashes...), Responses: append([]Response(nil), v.w.Responses...)}
+					for i := range w.Crashes {
+						w.Crashes[i].At = w.Crashes[i].At.Add(late)
 					}
-					for i := range w.Answers {
-						w.Answers[i].At = w.Answers[i].At.Add(late)
+					for i := range w.Responses {
+						w.Responses[i].At = w.Responses[i].At.Add(late)
 					}
-					b.Hear(now, w)
+					b.Merge(now, w)
 				}
 			}
 			return b
 		}
 		a, b := tell(), tell()
 		for _, x := range []string{"x", "y", "z"} {
-			assert.Equal(t, a.Wait(now, printOf(x)) > 0, b.Wait(now, printOf(x)) > 0, x)
+			assert.Equal(t, a.Remaining(now, printOf(x)) > 0, b.Remaining(now, printOf(x)) > 0, x)
 		}
 	})
 }
@@ -223,7 +223,7 @@
 // held back, which isn't forgotten for them.
 func TestBookIsBounded(t *testing.T) {
 	w := newWorld()
-	for i := range Proof {
+	for i := range CrashThreshold {
 		w.broke(fmt.Sprint("u", i), "x")
 	}
 	for i := range 20_000 {
@@ -233,14 +233,14 @@
 	assert.LessOrEqual(t, len(w.b.suspects), suspectsLimit)
 	w.assertHeld(t, true, "x")
 	t.Run("a message is bounded, and what holds back goes first", func(t *testing.T) {
-		v := w.b.Words(at(w.now))
-		assert.LessOrEqual(t, len(v.Ends), endsTold)
-		assert.Equal(t, printOf("x"), v.Ends[0].Print)
+		v := w.b.BuildUpdate(at(w.now))
+		assert.LessOrEqual(t, len(v.Crashes), endsTold)
+		assert.Equal(t, printOf("x"), v.Crashes[0].Fingerprint)
 	})
 	t.Run("what proves nothing lapses", func(t *testing.T) {
-		w.b.Words(at(w.now + suspectKeeps + time.Second))
+		w.b.BuildUpdate(at(w.now + suspectKeeps + time.Second))
 		assert.Len(t, w.b.suspects, 1)
-		w.b.Words(at(w.now + holdFirst + heldKeeps + time.Minute))
+		w.b.BuildUpdate(at(w.now + holdFirst + heldKeeps + time.Minute))
 		assert.Empty(t, w.b.suspects)
 		assert.Empty(t, w.b.families)
 	})
@@ -250,18 +250,18 @@
 // always.
 func TestWordsReachThoseThatBeginLater(t *testing.T) {
 	w := newWorld()
-	for i := range Proof {
+	for i := range CrashThreshold {
 		w.broke(fmt.Sprint("u", i), "x")
 	}
 	w.broke("u", "y")
-	assert.Len(t, w.b.Words(at(w.now)).Ends, Proof+1)
+	assert.Len(t, w.b.BuildUpdate(at(w.now)).Crashes, CrashThreshold+1)
 	w.now += tellsFor + time.Second
-	v := w.b.Words(at(w.now))
-	assert.Len(t, v.Ends, Proof)
+	v := w.b.BuildUpdate(at(w.now))
+	assert.Len(t, v.Crashes, CrashThreshold)
 	late := newWorld()
 	late.now = w.now
-	c := late.b.Hear(at(w.now), v)
+	c := late.b.Merge(at(w.now), v)
 	assert.Len(t, c, 1)
 	late.assertHeld(t, true, "x")
-	t.Run("what is known is no news", func(t *testing.T) { assert.Empty(t, late.b.Hear(at(w.now), v)) })
+	t.Run("what is known is no news", func(t *testing.T) { assert.Empty(t, late.b.Merge(at(w.now), v)) })
 }
--- a/internal/quarantine/family.go
+++ b/internal/quarantine/family.go
@@ -42,20 +42,20 @@
 // family is the requests of one shape under which upstreams ended.
 type family struct {
 	suspects int   // of them: in the book
-	ends     []End // since one of them was answered, by time
-	answered Answer
-	cleared  Answer // the newest that cleared ends: others are told of it
-	tried    Trial  // the newest one that was let through, here or at another node
+	ends     []Crash // since one of them was answered, by time
+	answered Response
+	cleared  Response // the newest that cleared ends: others are told of it
+	tried    Probe  // the newest one that was let through, here or at another node
 }
 
 // add takes in an end, and tells whether the family is held back by it for the first time or for longer.
-func (f *family) add(e End) bool {
-	if !e.At.After(f.answered.At) || slices.ContainsFunc(f.ends, func(o End) bool { return o.Print == e.Print && o.same(e) }) {
+func (f *family) add(e Crash) bool {
+	if !e.At.After(f.answered.At) || slices.ContainsFunc(f.ends, func(o Crash) bool { return o.Fingerprint == e.Fingerprint && o.same(e) }) {
 		return false
 	}
 	before := f.until()
 	f.ends = append(f.ends, e)
-	slices.SortFunc(f.ends, func(a, b End) int { return a.At.Compare(b.At) })
+	slices.SortFunc(f.ends, func(a, b Crash) int { return a.At.Compare(b.At) })
 	if len(f.ends) > familyEnds {
 		f.ends = slices.Delete(f.ends, 0, 1)
 	}
@@ -63,14 +63,14 @@
 }
 
 // answer takes in that one of them was answered, and tells whether the family was held back.
-func (f *family) answer(a Answer) bool {
+func (f *family) answer(a Response) bool {
 	if !a.At.After(f.answered.At) {
 		return false
 	}
 	held := !f.until().IsZero()
 	f.answered = a
 	ends := len(f.ends)
-	f.ends = slices.DeleteFunc(f.ends, func(e End) bool { return !e.At.After(a.At) })
+	f.ends = slices.DeleteFunc(f.ends, func(e Crash) bool { return !e.At.After(a.At) })
 	if len(f.ends) < ends {
 		f.cleared = a
 	}
@@ -78,7 +78,7 @@
 }
 
 // apart counts ends, by time, that didn't come together.
-func apart(ends []End) int {
+func apart(ends []Crash) int {
 	n := 0
 	var last time.Time
 	for _, e := range ends {
@@ -95,9 +95,9 @@
 	if n < familyProof {
 		return time.Time{}
 	}
-	prints := make(map[Print]bool, len(f.ends))
+	prints := make(map[Fingerprint]bool, len(f.ends))
 	for _, e := range f.ends {
-		prints[e.Print] = true
+		prints[e.Fingerprint] = true
 	}
 	if len(prints) < familyPrints {
 		return time.Time{}
@@ -108,21 +108,21 @@
 
 // check tells whether one of them may be sent now. One at a time may, once the time is over: while it runs,
 // trialTakes at most, the others wait for its answer, or for the end that makes the time longer.
-func (f *family) check(now time.Time, node string, p Print) Verdict {
+func (f *family) check(now time.Time, node string, p Fingerprint) Verdict {
 	until := f.until()
 	if until.IsZero() {
 		return Verdict{}
 	}
-	v := Verdict{Alike: true, Upstreams: len(f.ends)}
+	v := Verdict{ByShape: true, Upstreams: len(f.ends)}
 	free := until.Add(time.Duration(xxhash.Sum64String(node) % uint64(familySpread)))
 	if t := f.tried.At.Add(trialTakes); t.After(free) && f.tried.At.After(f.ends[len(f.ends)-1].At) {
 		free = t
 	}
 	if now.Before(free) {
-		v.Held, v.Wait = true, free.Sub(now)
+		v.Quarantined, v.Wait = true, free.Sub(now)
 		return v
 	}
-	f.tried = Trial{Print: p, At: now}
-	v.Trial = true
+	f.tried = Probe{Fingerprint: p, At: now}
+	v.Probe = true
 	return v
 }
--- a/internal/quarantine/family_test.go
+++ b/internal/quarantine/family_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func (w *world) answered(body string) []Change { return w.b.Answered(at(w.now), printOf(body)) }
+func (w *world) answered(body string) []Change { return w.b.ObserveResponse(at(w.now), printOf(body)) }
 
 // TestFamily is what holds requests back that are alike, and what doesn't.
 func TestFamily(t *testing.T) {
@@ -26,7 +26,7 @@
 		w.assertHeld(t, false, "deadly 999")
 		w.series(familyProof-1, 1)
 		w.assertHeld(t, true, "deadly 999")
-		assert.True(t, w.check("deadly 999").Alike)
+		assert.True(t, w.check("deadly 999").ByShape)
 		w.assertHeld(t, false, "another length")
 	})
 	t.Run("an answer in between", func(t *testing.T) {
@@ -43,8 +43,8 @@
 		w.now += time.Second
 		w.answered("deadly 500")
 		for i := range familyProof {
-			e := End{Print: printOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
-			w.b.Hear(at(w.now), Words{Ends: []End{e}})
+			e := Crash{Fingerprint: printOf(fmt.Sprintf("deadly 6%02d", i)), Upstream: fmt.Sprint("v", i), At: at(late - time.Duration(i)*time.Second)}
+			w.b.Merge(at(w.now), Update{Crashes: []Crash{e}})
 		}
 		w.assertHeld(t, false, "deadly 999")
 	})
@@ -68,13 +68,13 @@
 		w := newWorld()
 		w.series(0, familyProof)
 		w.now += familyHold + familySpread
-		assert.True(t, w.check("deadly 100").Trial)
+		assert.True(t, w.check("deadly 100").Probe)
 		w.assertHeld(t, true, "deadly 101")
 		w.broke("v", "deadly 100")
 		w.now += familyHold + familySpread
 		w.assertHeld(t, true, "deadly 101")
 		w.now += familyHold
-		assert.True(t, w.check("deadly 101").Trial)
+		assert.True(t, w.check("deadly 101").Probe)
 		w.now += trialTakes - time.Millisecond
 		w.assertHeld(t, true, "deadly 102")
 		assert.Len(t, w.answered("deadly 101"), 1)
@@ -85,26 +85,26 @@
 		w.series(0, 30)
 		assert.LessOrEqual(t, w.check("deadly 999").Wait, familyLongest+familySpread)
 		w.now += familyLongest + familySpread
-		assert.True(t, w.check("deadly 999").Trial)
+		assert.True(t, w.check("deadly 999").Probe)
 	})
 	t.Run("nodes tell each other of ends, trials and answers", func(t *testing.T) {
 		w, o := newWorld(), newWorld()
 		w.series(0, familyProof)
-		tell := func() []Change { return o.b.Hear(at(w.now), w.b.Words(at(w.now))) }
+		tell := func() []Change { return o.b.Merge(at(w.now), w.b.BuildUpdate(at(w.now))) }
 		held := tell()
 		if assert.Len(t, held, 1) {
-			assert.True(t, held[0].Held && held[0].Alike)
+			assert.True(t, held[0].Quarantined && held[0].ByShape)
 			assert.Len(t, held[0].Upstreams, familyProof)
 		}
 		w.now += familyHold + familySpread
 		o.now = w.now
-		assert.True(t, w.check("deadly 100").Trial)
+		assert.True(t, w.check("deadly 100").Probe)
 		tell()
 		o.assertHeld(t, true, "deadly 101")
 		w.answered("deadly 100")
 		freed := tell()
 		if assert.Len(t, freed, 1) {
-			assert.False(t, freed[0].Held)
+			assert.False(t, freed[0].Quarantined)
 		}
 		o.assertHeld(t, false, "deadly 101")
 	})
@@ -113,7 +113,7 @@
 		w.series(0, 2*familyEnds)
 		shape := printOf("deadly 000").Shape()
 		assert.Len(t, w.b.families[shape].ends, familyEnds)
-		w.b.Words(at(w.now + suspectKeeps + time.Second))
+		w.b.BuildUpdate(at(w.now + suspectKeeps + time.Second))
 		assert.Empty(t, w.b.families)
 	})
 }
@@ -131,11 +131,11 @@
 			return false
 		}
 	}
-	assert.True(t, w.b.Repeats(printOf("x"), at()))
+	assert.True(t, w.b.MayRetry(printOf("x"), at()))
 	w.broke("u", "x", "beside")
-	assert.True(t, w.b.Repeats(printOf("x"), at("u")), "its own end")
-	assert.False(t, w.b.Repeats(printOf("x"), at("v")), "another copy's")
+	assert.True(t, w.b.MayRetry(printOf("x"), at("u")), "its own end")
+	assert.False(t, w.b.MayRetry(printOf("x"), at("v")), "another copy's")
 	w.now += time.Second
 	w.answered("beside")
-	assert.True(t, w.b.Repeats(printOf("beside"), at("v")), "it was answered since")
+	assert.True(t, w.b.MayRetry(printOf("beside"), at("v")), "it was answered since")
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -36,7 +36,7 @@
 type play struct {
 	r        *rand.Rand
 	now      time.Duration
-	nodes    []*Book
+	nodes    []*Tracker
 	down     []time.Duration // until when an upstream is down
 	flights  []*flight
 	ended    map[string]int           // upstreams that a request ended
@@ -54,7 +54,7 @@
 		proved: make(map[string]time.Duration), late: make(map[string]int), innocent: make(map[string]bool), refused: make(map[string]bool), denied: make(map[string]bool),
 	}
 	for i := range nodes {
-		p.nodes = append(p.nodes, NewBook(fmt.Sprint("n", i)))
+		p.nodes = append(p.nodes, NewTracker(fmt.Sprint("n", i)))
 	}
 	return p
 }
@@ -64,7 +64,7 @@
 // send sends a request, or refuses it.
 func (p *play) send(f flight) {
 	b := p.nodes[f.node]
-	if b.Check(at(p.now), printOf(f.body)).Held {
+	if b.Check(at(p.now), printOf(f.body)).Quarantined {
 		if !isDeadly(f.body) {
 			p.refused[f.body] = true
 		}
@@ -96,16 +96,16 @@
 		}
 		return f.upstream == u
 	})
-	e := End{Upstream: fmt.Sprint("u", u), At: at(p.now)}
+	e := Crash{Upstream: fmt.Sprint("u", u), At: at(p.now)}
 	for _, f := range broken {
-		e.Print = printOf(f.body)
-		p.nodes[f.node].Broke(at(p.now), e)
+		e.Fingerprint = printOf(f.body)
+		p.nodes[f.node].ObserveCrash(at(p.now), e)
 	}
 	for _, f := range broken {
 		switch {
-		case p.nodes[f.node].Wait(at(p.now), printOf(f.body)) > 0:
+		case p.nodes[f.node].Remaining(at(p.now), printOf(f.body)) > 0:
 		case f.sends < 2: // the node's own retry
-			if !p.nodes[f.node].Repeats(printOf(f.body), func(u string) bool { return u == e.Upstream }) {
+			if !p.nodes[f.node].MayRetry(printOf(f.body), func(u string) bool { return u == e.Upstream }) {
 				p.denied[f.body] = true
 				continue
 			}
@@ -123,11 +123,11 @@
 			continue
 		}
 		if !isDeadly(f.body) {
-			p.nodes[f.node].Answered(at(p.now), printOf(f.body))
+			p.nodes[f.node].ObserveResponse(at(p.now), printOf(f.body))
 			p.flights = slices.DeleteFunc(p.flights, func(x *flight) bool { return x == f })
 			continue
 		}
-		if p.ended[f.body]++; p.ended[f.body] == Proof {
+		if p.ended[f.body]++; p.ended[f.body] == CrashThreshold {
 			p.proved[f.body] = p.now
 		}
 		p.end(f.upstream)
@@ -137,11 +137,11 @@
 // tell lets nodes and relays swap words, and returns the largest message.
 func (p *play) tell() int {
 	most := 0
-	swap := func(x, y *Book) {
-		w, v := x.Words(at(p.now)), y.Words(at(p.now))
-		most = max(most, len(w.Ends), len(v.Ends))
-		y.Hear(at(p.now), w)
-		x.Hear(at(p.now), v)
+	swap := func(x, y *Tracker) {
+		w, v := x.BuildUpdate(at(p.now)), y.BuildUpdate(at(p.now))
+		most = max(most, len(w.Crashes), len(v.Crashes))
+		y.Merge(at(p.now), w)
+		x.Merge(at(p.now), v)
 	}
 	for i := range p.nodes {
 		if h := i / playRelay * playRelay; h != i {
@@ -159,7 +159,7 @@
 // withdraw takes back what is held back by now and waits at an upstream still.
 func (p *play) withdraw() {
 	p.flights = slices.DeleteFunc(p.flights, func(f *flight) bool {
-		return f.ends > p.now+100*time.Millisecond && p.nodes[f.node].Wait(at(p.now), printOf(f.body)) > 0
+		return f.ends > p.now+100*time.Millisecond && p.nodes[f.node].Remaining(at(p.now), printOf(f.body)) > 0
 	})
 }
 
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -24,7 +24,7 @@
 
 // Print tells requests apart. Two requests that differ in a field of Request have different
 // prints; repeats have the same one, whatever ids and deadlines they carry.
-type Print [shapeSize + digestSize]byte
+type Fingerprint [shapeSize + digestSize]byte
 
 // Shape is the part of a print that all requests have in common which are alike: form.go says what of the body it
 // takes. It is looked at only where ends were seen (BenchmarkPrint).
@@ -43,7 +43,7 @@
 }
 
 // PrintOf returns the print of a request.
-func PrintOf(r Request) Print {
+func FingerprintOf(r Request) Fingerprint {
 	h := sha256.New()
 	field := func(b []byte) {
 		var n [8]byte
@@ -55,14 +55,14 @@
 		field([]byte(s))
 	}
 	field(r.Body)
-	var p Print
+	var p Fingerprint
 	binary.LittleEndian.PutUint64(p[:shapeSize], uint64(ShapeOf(r)))
 	copy(p[shapeSize:], h.Sum(nil))
 	return p
 }
 
 // Shape returns the print's shape.
-func (p Print) Shape() Shape { return Shape(binary.LittleEndian.Uint64(p[:shapeSize])) }
+func (p Fingerprint) Shape() Shape { return Shape(binary.LittleEndian.Uint64(p[:shapeSize])) }
 
 // String is the print as logs and operators name it.
-func (p Print) String() string { return hex.EncodeToString(p[shapeSize:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[shapeSize:]) }
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -27,9 +27,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRequest(t), drawRequest(t)
 		same := a.Method == b.Method && a.Host == b.Host && a.Target == b.Target && a.Workspace == b.Workspace
-		assert.Equal(t, same && bytes.Equal(a.Body, b.Body), PrintOf(a) == PrintOf(b))
+		assert.Equal(t, same && bytes.Equal(a.Body, b.Body), FingerprintOf(a) == FingerprintOf(b))
 		assert.Equal(t, same && bytes.Equal(a.Body, b.Body), ShapeOf(a) == ShapeOf(b))
-		assert.Equal(t, ShapeOf(a), PrintOf(a).Shape())
+		assert.Equal(t, ShapeOf(a), FingerprintOf(a).Shape())
 	})
 }
 
@@ -80,7 +80,7 @@
 	})
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
-			_ = PrintOf(r)
+			_ = FingerprintOf(r)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 // FuzzWords: whatever another node tells, of another version or broken, is heard without a panic, and the words told
 // on are within their bounds.
 func FuzzWords(f *testing.F) {
-	p := PrintOf(Request{Body: []byte("x")})
+	p := FingerprintOf(Request{Body: []byte("x")})
 	for _, m := range []*wire.Suspicions{
 		{Ends: []*wire.End{{Print: p[:], Upstream: "u", AgeMs: -1 << 62}, {Print: []byte{1}, Upstream: "v"}}},
 		{Answers: []*wire.Answered{{Print: p[:], AgeMs: 1 << 62}}, Trials: []*wire.Answered{{Print: p[:], AgeMs: -5}}},
@@ -104,12 +104,12 @@
 		if proto.Unmarshal(b, &m) != nil {
 			return
 		}
-		v := NewBook("a")
+		v := NewTracker("a")
 		now := at(time.Hour)
-		v.Broke(now, End{Print: p, Upstream: "w", At: now})
-		v.Hear(now, WordsFromWire(now, &m))
+		v.ObserveCrash(now, Crash{Fingerprint: p, Upstream: "w", At: now})
+		v.Merge(now, UpdateFromWire(now, &m))
 		assert.LessOrEqual(t, v.Check(now, p).Wait, holdLongest+spread+trialTakes)
-		assert.LessOrEqual(t, len(v.Words(now).Ends), endsTold)
-		assert.False(t, v.Check(now.Add(2*holdLongest), p).Held, "nothing that is heard holds back for good")
+		assert.LessOrEqual(t, len(v.BuildUpdate(now).Crashes), endsTold)
+		assert.False(t, v.Check(now.Add(2*holdLongest), p).Quarantined, "nothing that is heard holds back for good")
 	})
 }
--- a/internal/quarantine/settle.go
+++ b/internal/quarantine/settle.go
@@ -10,7 +10,7 @@
 // This file decides which requests are held back, and until when.
 
 // settle derives anew which requests are held back, and returns what became different.
-func (b *Book) settle() []Change {
+func (b *Tracker) settle() []Change {
 	changes := b.alike
 	b.alike = nil
 	if !b.stale {
@@ -28,9 +28,9 @@
 	return changes
 }
 
-func (b *Book) change(p Print, s *suspect) Change {
+func (b *Tracker) change(p Fingerprint, s *suspect) Change {
 	b.held++
-	c := Change{Print: p, Held: !s.until.IsZero(), Until: s.until}
+	c := Change{Fingerprint: p, Quarantined: !s.until.IsZero(), Until: s.until}
 	for _, e := range s.ends {
 		c.Upstreams = append(c.Upstreams, e.Upstream)
 	}
@@ -38,14 +38,14 @@
 }
 
 // heldUntil returns until when ends, which come by time, hold a request back; zero: they don't.
-func heldUntil(ends []End) time.Time {
+func heldUntil(ends []Crash) time.Time {
 	var until time.Time
 	hold := holdFirst
 	for i, e := range ends {
-		if i+1 < Proof {
+		if i+1 < CrashThreshold {
 			continue
 		}
-		if i+1 > Proof && e.At.After(until) {
+		if i+1 > CrashThreshold && e.At.After(until) {
 			hold = min(2*hold, holdLongest)
 		}
 		if t := e.At.Add(hold); t.After(until) {
@@ -57,15 +57,15 @@
 
 // Verdict is what to do with a request.
 type Verdict struct {
-	Held      bool
+	Quarantined      bool
 	Wait      time.Duration // until it may come again
 	Upstreams int           // that ended under it
-	Trial     bool          // it was held back, and is let through to see whether it still is to be
-	Alike     bool          // for others of its shape
+	Probe     bool          // it was held back, and is let through to see whether it still is to be
+	ByShape     bool          // for others of its shape
 }
 
 // Check tells whether a request may be sent now.
-func (b *Book) Check(now time.Time, p Print) Verdict {
+func (b *Tracker) Check(now time.Time, p Fingerprint) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[p]
@@ -77,18 +77,18 @@
 	}
 	free := s.until.Add(b.turn(p))
 	if now.Before(free) {
-		return Verdict{Held: true, Wait: free.Sub(now), Upstreams: len(s.ends)}
+		return Verdict{Quarantined: true, Wait: free.Sub(now), Upstreams: len(s.ends)}
 	}
 	if t := s.tried.Add(trialTakes); now.Before(t) {
-		return Verdict{Held: true, Wait: t.Sub(now), Upstreams: len(s.ends)}
+		return Verdict{Quarantined: true, Wait: t.Sub(now), Upstreams: len(s.ends)}
 	}
 	s.tried = now
-	return Verdict{Trial: true, Upstreams: len(s.ends)}
+	return Verdict{Probe: true, Upstreams: len(s.ends)}
 }
 
 // Wait returns how long a request is still held back; 0: it isn't. Unlike Check it lets none
 // through.
-func (b *Book) Wait(now time.Time, p Print) time.Duration {
+func (b *Tracker) Remaining(now time.Time, p Fingerprint) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[p]
@@ -101,15 +101,15 @@
 // Repeats tells whether a request that has been sent may be sent once more: not where another copy of it
 // has ended an upstream. own names the upstreams that it was at itself: what ran beside a deadly request
 // there keeps its second try.
-func (b *Book) Repeats(p Print, own func(upstream string) bool) bool {
+func (b *Tracker) MayRetry(p Fingerprint, own func(upstream string) bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[p]
-	return s == nil || !slices.ContainsFunc(s.ends, func(e End) bool { return !own(e.Upstream) })
+	return s == nil || !slices.ContainsFunc(s.ends, func(e Crash) bool { return !own(e.Upstream) })
 }
 
 // turn is when after its time this node lets a request through: each node at a moment of its
 // own that nobody needs to be told.
-func (b *Book) turn(p Print) time.Duration {
+func (b *Tracker) turn(p Fingerprint) time.Duration {
 	return time.Duration(xxhash.Sum64String(p.String()+b.node) % uint64(spread))
 }
--- a/internal/quarantine/words.go
+++ b/internal/quarantine/words.go
@@ -19,37 +19,37 @@
 )
 
 // Answer is that a request was answered whole.
-type Answer struct {
-	Print Print
+type Response struct {
+	Fingerprint Fingerprint
 	At    time.Time
 }
 
 // Trial is that a request that was held back was let through. Others wait for how it ends:
 // without that word they let through another one in the second and a half until they hear of
 // its end.
-type Trial struct {
-	Print Print
+type Probe struct {
+	Fingerprint Fingerprint
 	At    time.Time
 }
 
 // Words is what a book tells.
-type Words struct {
-	Ends    []End
-	Answers []Answer
-	Trials  []Trial
+type Update struct {
+	Crashes    []Crash
+	Responses []Response
+	Probes  []Probe
 }
 
 // Empty tells whether there is nothing to tell.
-func (w Words) Empty() bool { return len(w.Ends)+len(w.Answers)+len(w.Trials) == 0 }
+func (w Update) Empty() bool { return len(w.Crashes)+len(w.Responses)+len(w.Probes) == 0 }
 
 // Words returns what is to be told now. What has lapsed is forgotten.
-func (b *Book) Words(now time.Time) Words {
+func (b *Tracker) BuildUpdate(now time.Time) Update {
 	if b.size.Load() == 0 {
-		return Words{}
+		return Update{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var w Words
+	var w Update
 	var list []*suspect
 	alike := b.heldShapes()
 	for p, s := range b.suspects {
@@ -62,34 +62,34 @@
 			list = append(list, s)
 		}
 		if news && !s.cleared.IsZero() {
-			w.Answers = append(w.Answers, Answer{p, s.cleared})
+			w.Responses = append(w.Responses, Response{p, s.cleared})
 		}
 		if now.Sub(s.tried) <= tellsFor {
-			w.Trials = append(w.Trials, Trial{p, s.tried})
+			w.Probes = append(w.Probes, Probe{p, s.tried})
 		}
 	}
 	for _, f := range b.families {
 		if now.Sub(f.cleared.At) <= tellsFor {
-			w.Answers = append(w.Answers, f.cleared)
+			w.Responses = append(w.Responses, f.cleared)
 		}
 		if now.Sub(f.tried.At) <= tellsFor {
-			w.Trials = append(w.Trials, f.tried)
+			w.Probes = append(w.Probes, f.tried)
 		}
 	}
 	slices.SortFunc(list, func(x, y *suspect) int {
 		return cmp.Or(cmp.Compare(len(y.ends), len(x.ends)), y.changed.Compare(x.changed))
 	})
 	for _, s := range list {
-		if len(w.Ends)+len(s.ends) > endsTold {
+		if len(w.Crashes)+len(s.ends) > endsTold {
 			break
 		}
-		w.Ends = append(w.Ends, s.ends...)
+		w.Crashes = append(w.Crashes, s.ends...)
 	}
 	return w
 }
 
 // heldShapes returns the shapes that are held back.
-func (b *Book) heldShapes() map[Shape]bool {
+func (b *Tracker) heldShapes() map[Shape]bool {
 	m := make(map[Shape]bool)
 	for s, f := range b.families {
 		if len(f.ends) >= familyProof && !f.until().IsZero() {
@@ -101,10 +101,10 @@
 
 // Held returns the ends that hold requests back, and a number that rises with each change of
 // which do.
-func (b *Book) Held() ([]End, int64) {
+func (b *Tracker) Evidence() ([]Crash, int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []End
+	var list []Crash
 	for _, s := range b.suspects {
 		if !s.until.IsZero() {
 			list = append(list, s.ends...)
@@ -114,25 +114,25 @@
 }
 
 // Hear takes in what another book told.
-func (b *Book) Hear(now time.Time, w Words) []Change {
+func (b *Tracker) Merge(now time.Time, w Update) []Change {
 	if w.Empty() {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	news := false
-	for _, a := range w.Answers {
-		news = b.clear(now, a.Print, a.At) || news
+	for _, a := range w.Responses {
+		news = b.clear(now, a.Fingerprint, a.At) || news
 		b.clearAlike(a)
 	}
-	for _, e := range w.Ends {
+	for _, e := range w.Crashes {
 		news = b.add(now, e) || news
 	}
-	for _, t := range w.Trials {
-		if s := b.suspects[t.Print]; s != nil && t.At.Sub(s.tried) >= sameWithin {
+	for _, t := range w.Probes {
+		if s := b.suspects[t.Fingerprint]; s != nil && t.At.Sub(s.tried) >= sameWithin {
 			s.tried = t.At
 		}
-		if f := b.families[t.Print.Shape()]; f != nil && t.At.After(f.tried.At) {
+		if f := b.families[t.Fingerprint.Shape()]; f != nil && t.At.After(f.tried.At) {
 			f.tried = t
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -262,7 +262,7 @@
 // Round begins a new span between reports: it ages what is known, and takes off what
 // silent nodes may be charging. every is how long a span usually is, and lag how old the
 // word of a node is that isn't silent: that of the way on which it is handed on.
-func (q *Quotas) Round(now time.Time, every, lag time.Duration) {
+func (q *Quotas) StartRound(now time.Time, every, lag time.Duration) {
 	silence := time.Duration(silentRounds*float64(every)) + lag
 	d, before := now.Sub(q.round).Seconds(), q.round
 	q.round = now
@@ -344,9 +344,9 @@
 }
 
 // Word is what a process of another node has charged since it began.
-type Word struct {
+type Update struct {
 	Node     string
-	Lifetime string
+	Incarnation string
 	Sequence uint64        // of the process's report; 0: not known
 	Uptime   time.Duration // now
 	Age      time.Duration // since the node was heard: by this one, or by one that hands its word on
@@ -355,10 +355,10 @@
 
 // TakeIn takes in another node's word. One of a process that another has taken the place of
 // says nothing: it came by a longer way.
-func (q *Quotas) TakeIn(now time.Time, w Word) {
+func (q *Quotas) ApplyUpdate(now time.Time, w Update) {
 	p := q.peer(now, w.Node)
 	began := now.Add(-w.Uptime)
-	if p.lifetime != w.Lifetime {
+	if p.lifetime != w.Incarnation {
 		if p.lifetime != "" && began.Before(p.began) {
 			return
 		}
@@ -366,13 +366,13 @@
 		// hear of it. Only of one that is older than this process, what it charged before is
 		// what the bucket's first level stands for.
 		older := p.lifetime == "" && w.Uptime > now.Sub(q.began)+sameAge
-		p.lifetime, p.began, p.sequence = w.Lifetime, began, 0
+		p.lifetime, p.began, p.sequence = w.Incarnation, began, 0
 		p.charged = map[string]float64{}
 		if older {
 			p.charged = w.Charged
 		}
 	}
-	known := p.lifetime == w.Lifetime && p.sequence == w.Sequence && w.Sequence != 0 && len(p.assumed) == 0
+	known := p.lifetime == w.Incarnation && p.sequence == w.Sequence && w.Sequence != 0 && len(p.assumed) == 0
 	p.sequence = w.Sequence
 	late := now.Sub(p.heard) > lateHeard
 	if at := now.Add(-w.Age); at.After(p.heard) {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -70,10 +70,10 @@
 		}
 		for j, o := range f.nodes {
 			if i != j && side(i) == side(j) {
-				q.TakeIn(now, Word{Node: f.names[j], Lifetime: fmt.Sprint(f.lives[j]), Uptime: now.Sub(f.began[j]), Charged: o.Charged()})
+				q.ApplyUpdate(now, Update{Node: f.names[j], Incarnation: fmt.Sprint(f.lives[j]), Uptime: now.Sub(f.began[j]), Charged: o.Charged()})
 			}
 		}
-		q.Round(now, 250*time.Millisecond, 0)
+		q.StartRound(now, 250*time.Millisecond, 0)
 	}
 }
 
--- a/internal/quota/recall.go
+++ b/internal/quota/recall.go
@@ -40,7 +40,7 @@
 
 // Recall takes in levels that were written down so long ago, as they are so often, and tells
 // whether it did. Until they would have been written down again, use went on as it was.
-func (q *Quotas) Recall(now time.Time, age, every time.Duration, levels map[string]Level) bool {
+func (q *Quotas) Restore(now time.Time, age, every time.Duration, levels map[string]Level) bool {
 	if q.full || age < 0 || age > recallLimit {
 		return false
 	}
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -44,7 +44,7 @@
 
 // recall lets a node that has just started go on from what another wrote down before.
 func (f *fleet) recall(now time.Time, i int, written map[string]Level, age time.Duration) {
-	f.nodes[i].Recall(now, age, 500*time.Millisecond, written)
+	f.nodes[i].Restore(now, age, 500*time.Millisecond, written)
 }
 
 // TestSumHoldsWhenAllStartAgain kills all processes twice, half a second each, under a rush
@@ -163,8 +163,8 @@
 	a.SetPeers(start, []string{"b"})
 	charged := 0.0
 	hear := func(now time.Time) {
-		a.TakeIn(now, Word{Node: "b", Lifetime: "life", Uptime: now.Sub(start), Charged: map[string]float64{"w": charged}})
-		a.Round(now, 250*time.Millisecond, 0)
+		a.ApplyUpdate(now, Update{Node: "b", Incarnation: "life", Uptime: now.Sub(start), Charged: map[string]float64{"w": charged}})
+		a.StartRound(now, 250*time.Millisecond, 0)
 	}
 	now := start
 	for ; now.Before(start.Add(time.Minute)); now = now.Add(250 * time.Millisecond) {
@@ -175,7 +175,7 @@
 	for k := 0; k < 20; k++ {
 		now = now.Add(250 * time.Millisecond)
 		charged += 100
-		a.Round(now, 250*time.Millisecond, 0)
+		a.StartRound(now, 250*time.Millisecond, 0)
 	}
 	hear(now)
 	assert.Greater(t, a.Levels(now)["w"].Level, -1100.0, "of %.0f charged in all, 2000 in the cut", charged)
--- a/internal/reclaim/reclaim.go
+++ b/internal/reclaim/reclaim.go
@@ -15,28 +15,28 @@
 )
 
 // Act is what to do with a stream.
-type Act int
+type Action int
 
 // The acts.
 const (
-	ActStay   Act = iota // it ends in time
-	ActExport            // export its KV cache, then resume elsewhere
-	ActResume            // resume elsewhere, which computes it again
+	ActionStay   Action = iota // it ends in time
+	ActionExport            // export its KV cache, then resume elsewhere
+	ActionResume            // resume elsewhere, which computes it again
 )
 
 // Stream is a stream on the leaving upstream.
 type Stream struct {
 	Live     bool
 	Tokens   int           // in its KV cache
-	Left     int           // tokens at most still to come
-	PerToken time.Duration // time between its tokens; 0: not known
+	MaxRemaining     int           // tokens at most still to come
+	TokenTime time.Duration // time between its tokens; 0: not known
 	Weight   float64       // what a recomputed token is worth to its workspace
 }
 
 // Step is one thing to do, in order.
 type Step struct {
 	Index int
-	Act   Act
+	Action   Action
 }
 
 // Options sets the plan.
@@ -53,9 +53,9 @@
 	defaultOverhead = 5 * time.Millisecond
 	// usable is the part of the notice that exports may take; the rest is for the
 	// streams to find their new place.
-	usable = 0.8
+	usableShare = 0.8
 	// fewTokens is a KV cache not worth exporting: its prefill is quicker.
-	fewTokens = 16
+	minExportTokens = 16
 )
 
 // Plan orders the steps.
@@ -68,11 +68,11 @@
 	}
 	order := make([]int, 0, len(list))
 	steps := make([]Step, 0, len(list))
-	budget := time.Duration(usable * float64(o.Notice))
+	budget := time.Duration(usableShare * float64(o.Notice))
 	for i := range list {
 		s := &list[i]
-		if s.PerToken > 0 && s.PerToken*time.Duration(s.Left) < budget {
-			steps = append(steps, Step{i, ActStay})
+		if s.TokenTime > 0 && s.TokenTime*time.Duration(s.MaxRemaining) < budget {
+			steps = append(steps, Step{i, ActionStay})
 			continue
 		}
 		order = append(order, i)
@@ -83,12 +83,12 @@
 	var late []Step
 	for _, i := range order {
 		cost := o.transfer(&list[i])
-		if o.NoExports || list[i].Tokens < fewTokens || cost > budget {
-			late = append(late, Step{i, ActResume})
+		if o.NoExports || list[i].Tokens < minExportTokens || cost > budget {
+			late = append(late, Step{i, ActionResume})
 			continue
 		}
 		budget -= cost
-		steps = append(steps, Step{i, ActExport})
+		steps = append(steps, Step{i, ActionExport})
 	}
 	// What can't be exported leaves at once, before the exports begin.
 	return append(late, steps...)
--- a/internal/reclaim/reclaim_test.go
+++ b/internal/reclaim/reclaim_test.go
@@ -18,17 +18,17 @@
 		for i := range list {
 			list[i] = Stream{
 				Live: rapid.Bool().Draw(t, "live"), Tokens: rapid.IntRange(0, 20000).Draw(t, "tokens"),
-				Left: rapid.IntRange(0, 2000).Draw(t, "left"), PerToken: time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond, Weight: 1,
+				MaxRemaining: rapid.IntRange(0, 2000).Draw(t, "left"), TokenTime: time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond, Weight: 1,
 			}
 		}
 		o := Options{Notice: time.Duration(rapid.IntRange(0, 3000).Draw(t, "notice")) * time.Millisecond, Transfer: defaultTransfer, Overhead: defaultOverhead}
-		seen := make(map[int]Act)
+		seen := make(map[int]Action)
 		var total time.Duration
 		for _, s := range Plan(list, o) {
 			_, twice := seen[s.Index]
 			assert.False(t, twice)
-			seen[s.Index] = s.Act
-			if s.Act == ActExport {
+			seen[s.Index] = s.Action
+			if s.Action == ActionExport {
 				total += o.transfer(&list[s.Index])
 			}
 		}
@@ -36,7 +36,7 @@
 		assert.LessOrEqual(t, total, o.Notice)
 		for i, a := range seen {
 			for j, b := range seen {
-				if a == ActResume && list[i].Live && list[i].Tokens >= fewTokens && b == ActExport && !list[j].Live {
+				if a == ActionResume && list[i].Live && list[i].Tokens >= minExportTokens && b == ActionExport && !list[j].Live {
 					assert.Less(t, o.transfer(&list[j]), o.transfer(&list[i]))
 				}
 			}
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -29,9 +29,9 @@
 	spent    map[string]counter
 	started  usage.Windows
 	loads    []pool.Load // of the relay's own nodes
-	reach    pool.Reach
-	trials   []rollout.Word
-	ended    []rollout.Word // of the node's processes before
+	reach    pool.Reachability
+	trials   []rollout.Update
+	ended    []rollout.Update // of the node's processes before
 }
 
 type counter struct {
@@ -45,8 +45,8 @@
 	heard    time.Time
 	lost     bool // it isn't heard any more
 	version  uint64
-	share    pool.Share
-	trials   []rollout.Word
+	share    pool.PeerLoad
+	trials   []rollout.Update
 }
 
 type placing struct {
@@ -57,7 +57,7 @@
 }
 
 // Book is what one relay knows. It isn't safe for concurrent use.
-type Book struct {
+type Aggregator struct {
 	self     string
 	lifetime string
 	version  uint64
@@ -68,20 +68,20 @@
 }
 
 // NewBook returns the book of one process.
-func NewBook(self, lifetime string) *Book {
-	return &Book{
+func NewAggregator(self, lifetime string) *Aggregator {
+	return &Aggregator{
 		self: self, lifetime: lifetime, records: make(map[string]*record), groups: make(map[string]*group),
 		told: make(map[pool.Placement]time.Time),
 	}
 }
 
 // Gather takes in a report of a node that reports here.
-func (b *Book) Gather(now time.Time, r Report) {
-	v := b.record(r.Node, r.Lifetime, r.Sequence, now.Add(-r.Uptime))
+func (b *Aggregator) ApplyReport(now time.Time, r Report) {
+	v := b.record(r.Node, r.Incarnation, r.Sequence, now.Add(-r.Uptime))
 	if v == nil {
 		return
 	}
-	v.loads, v.trials, v.reach = r.Loads, r.Trials, r.Reach
+	v.loads, v.trials, v.reach = r.Loads, r.Trials, r.Reachability
 	b.move(now, v, b.self)
 	b.spend(v, r.Spent)
 	b.count(v, r.Started)
@@ -89,7 +89,7 @@
 }
 
 // Away notes that this book's own node reports to another relay.
-func (b *Book) Away(relay string) {
+func (b *Aggregator) OwnNodeMoved(relay string) {
 	if v := b.records[b.self]; v != nil && v.relay == b.self {
 		v.left = b.next(v)
 		v.relay, v.loads = relay, nil
@@ -98,7 +98,7 @@
 
 // record returns the record of a process that has something new to tell, or nil if it
 // hasn't: the report is known, or another process has taken its place.
-func (b *Book) record(node, lifetime string, sequence uint64, began time.Time) *record {
+func (b *Aggregator) record(node, lifetime string, sequence uint64, began time.Time) *record {
 	v := b.records[node]
 	if v == nil {
 		v = &record{}
@@ -117,14 +117,14 @@
 }
 
 // next returns the version of a change to a record.
-func (b *Book) next(v *record) uint64 {
+func (b *Aggregator) next(v *record) uint64 {
 	b.version++
 	v.version = b.version
 	return b.version
 }
 
 // move notes that a node was heard at a relay.
-func (b *Book) move(at time.Time, v *record, relay string) {
+func (b *Aggregator) move(at time.Time, v *record, relay string) {
 	v.heard = at
 	if v.relay == b.self && relay != b.self {
 		v.left = b.next(v)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (b *Book) spend(v *record, spent map[string]float64) {
+func (b *Aggregator) spend(v *record, spent map[string]float64) {
 	for w, x := range spent {
 		if c, ok := v.spent[w]; !ok || c.value != x {
 			v.spent[w] = counter{x, b.next(v)}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (b *Book) count(v *record, started usage.Windows) {
+func (b *Aggregator) count(v *record, started usage.Windows) {
 	equal := func(x, y usage.Counts) bool { return maps.Equal(x, y) }
 	if !maps.EqualFunc(v.started, started, equal) {
 		b.version++
@@ -153,7 +153,7 @@
 }
 
 // place logs placements that weren't told a while ago.
-func (b *Book) place(now time.Time, relay string, list []pool.Placement) {
+func (b *Aggregator) place(now time.Time, relay string, list []pool.Placement) {
 	for _, p := range list {
 		if t, ok := b.told[p]; ok && now.Sub(t) < placedAgain {
 			continue
@@ -168,7 +168,7 @@
 }
 
 // Expire notes which nodes aren't heard any more.
-func (b *Book) Expire(now time.Time) {
+func (b *Aggregator) Expire(now time.Time) {
 	for name, v := range b.records {
 		if v.relay == b.self && !v.silent && now.Sub(v.heard) > silentAfter {
 			v.silent, v.loads = true, nil
@@ -185,7 +185,7 @@
 
 // lose notes which relays aren't heard any more. Their nodes may have come to others that
 // told so before, when it wasn't news; so these are asked for everything.
-func (b *Book) lose(now time.Time) {
+func (b *Aggregator) lose(now time.Time) {
 	lost := false
 	for _, g := range b.groups {
 		if !g.lost && now.Sub(g.heard) > silentAfter {
@@ -202,7 +202,7 @@
 
 // Known returns the version of a relay's book up to which its changes are known here, and
 // the process that the version belongs to.
-func (b *Book) Known(relay string) (lifetime string, version uint64) {
+func (b *Aggregator) KnownVersion(relay string) (lifetime string, version uint64) {
 	if g := b.groups[relay]; g != nil {
 		return g.lifetime, g.version
 	}
@@ -211,7 +211,7 @@
 
 // Version returns the version after which an asker that knows a process up to a version
 // has to be told of changes here.
-func (b *Book) Version(lifetime string, version uint64) uint64 {
+func (b *Aggregator) BaseVersion(lifetime string, version uint64) uint64 {
 	if lifetime != b.lifetime {
 		return 0
 	}
@@ -219,14 +219,14 @@
 }
 
 // TakeIn takes in another relay's word.
-func (b *Book) TakeIn(now time.Time, g Group) {
+func (b *Aggregator) MergeGroup(now time.Time, g Group) {
 	if g.Relay == b.self {
 		return
 	}
-	if old := b.groups[g.Relay]; old != nil && old.lifetime != g.Lifetime {
+	if old := b.groups[g.Relay]; old != nil && old.lifetime != g.Incarnation {
 		b.orphan(g.Relay)
 	}
-	b.groups[g.Relay] = &group{lifetime: g.Lifetime, version: g.Version, heard: now, share: g.Share, trials: g.Trials}
+	b.groups[g.Relay] = &group{lifetime: g.Incarnation, version: g.Version, heard: now, share: g.Share, trials: g.Trials}
 	for _, c := range g.Changes {
 		b.takeChange(now, g.Relay, c)
 	}
@@ -239,7 +239,7 @@
 }
 
 // orphan notes that a relay began anew: its nodes belong to it once it tells of them.
-func (b *Book) orphan(relay string) {
+func (b *Aggregator) orphan(relay string) {
 	for _, v := range b.records {
 		if v.relay == relay {
 			v.relay = ""
@@ -249,7 +249,7 @@
 }
 
 // takeChange takes in what another relay tells of one of its nodes.
-func (b *Book) takeChange(now time.Time, relay string, c Change) {
+func (b *Aggregator) takeChange(now time.Time, relay string, c Change) {
 	if c.Sequence == 0 {
 		if v := b.records[c.Node]; v != nil && v.relay == relay && !v.silent {
 			v.silent = true
@@ -258,14 +258,14 @@
 		return
 	}
 	at := now.Add(-c.Age)
-	v := b.record(c.Node, c.Lifetime, c.Sequence, at.Add(-c.Uptime))
+	v := b.record(c.Node, c.Incarnation, c.Sequence, at.Add(-c.Uptime))
 	if v != nil {
 		b.spend(v, c.Spent)
 		b.count(v, c.Started)
-	} else if v = b.records[c.Node]; v.lifetime != c.Lifetime || v.relay != relay {
+	} else if v = b.records[c.Node]; v.lifetime != c.Incarnation || v.relay != relay {
 		return // it has come to another relay since: that one has a later report
 	}
-	if !c.Silent {
+	if !c.Unresponsive {
 		b.move(at, v, relay)
 	} else if !v.silent {
 		b.move(at, v, relay)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -24,7 +24,7 @@
 // Order returns the names of a hall's nodes, by the cores that each has: the first ones do
 // what a hall has some nodes for. Those with most come first, the others by a hash of their
 // names: a relay with little of a core answers late when all nodes return at once.
-func Order(nodes map[string]float64) []string {
+func RankNodes(nodes map[string]float64) []string {
 	names := slices.Collect(maps.Keys(nodes))
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(nodes[b], nodes[a]), cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
@@ -45,7 +45,7 @@
 
 // Homes returns the relays of a node's hall in the order in which it tries to report to
 // them, out of the hall's nodes in order.
-func Homes(self string, ordered []string) []string {
+func ReportTargets(self string, ordered []string) []string {
 	homes := slices.Clone(Relays(ordered))
 	actives := homes[:len(Active(ordered))]
 	slices.SortFunc(actives, func(a, b string) int {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -41,11 +41,11 @@
 	load       int // requests at the one upstream
 	placed     []pool.Placement
 
-	book  *Book
+	book  *Aggregator
 	view  View
-	usage *usage.Book
-	words map[string]Word // of the last digest
-	share []pool.Share
+	usage *usage.Tracker
+	words map[string]Update // of the last digest
+	share []pool.PeerLoad
 }
 
 func newFleet(halls, nodes int) *fleet {
@@ -64,7 +64,7 @@
 	f.lives++
 	n.alive, n.life, n.began, n.sequence = true, fmt.Sprint("life-", f.lives), f.now, 0
 	n.spent, n.started, n.load, n.placed = map[string]float64{}, usage.Windows{}, 0, nil
-	n.book, n.view, n.words, n.share = NewBook(n.name, n.life), View{}, nil, nil
+	n.book, n.view, n.words, n.share = NewAggregator(n.name, n.life), View{}, nil, nil
 	n.usage = usage.New(n.name, n.life, window)
 }
 
@@ -95,7 +95,7 @@
 			nodes[o.name] = 1
 		}
 	}
-	return Order(nodes)
+	return RankNodes(nodes)
 }
 
 func (n *node) report() Report {
@@ -105,7 +105,7 @@
 		started[k] = maps.Clone(c)
 	}
 	r := Report{
-		Node: n.name, Lifetime: n.life, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
+		Node: n.name, Incarnation: n.life, Sequence: n.sequence, Spent: maps.Clone(n.spent), Started: started, Placed: n.placed,
 		Loads: []pool.Load{{Upstream: "u", Running: n.load}},
 	}
 	return r
@@ -127,25 +127,25 @@
 	n.book.Expire(f.now)
 	ordered := f.hallOf(n, n.hall)
 	if slices.Contains(Relays(ordered), n.name) {
-		n.book.Gather(f.now, r)
+		n.book.ApplyReport(f.now, r)
 		f.swapAll(n)
-		_, version := n.view.Known(n.name)
+		_, version := n.view.KnownVersion(n.name)
 		n.take(f.now, n.name, n.book.Digest(f.now, n.name, version))
 		return
 	}
-	h := f.byName(Homes(n.name, ordered)[0])
-	n.book.Away(h.name)
+	h := f.byName(ReportTargets(n.name, ordered)[0])
+	n.book.OwnNodeMoved(h.name)
 	f.calls[n.name]++
 	f.calls[h.name]++
-	h.usage.TakeIn(n.name, n.life, r.Started)
-	h.book.Gather(f.now, r)
-	lifetime, version := n.view.Known(h.name)
-	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.Version(lifetime, version)))
+	h.usage.Merge(n.name, n.life, r.Started)
+	h.book.ApplyReport(f.now, r)
+	lifetime, version := n.view.KnownVersion(h.name)
+	n.take(f.now, h.name, h.book.Digest(f.now, n.name, h.book.BaseVersion(lifetime, version)))
 }
 
 func (n *node) take(now time.Time, relay string, d Digest) {
-	n.words, n.share = map[string]Word{}, d.Shares
-	for _, w := range n.view.Take(now, relay, d) {
+	n.words, n.share = map[string]Update{}, d.Shares
+	for _, w := range n.view.ApplyDigest(now, relay, d) {
 		n.words[w.Node] = w
 	}
 }
@@ -169,11 +169,11 @@
 }
 
 func (f *fleet) tell(from, to *node) {
-	lifetime, version := to.book.Known(from.name)
-	g := from.book.Group(f.now, from.book.Version(lifetime, version))
-	to.book.TakeIn(f.now, g)
+	lifetime, version := to.book.KnownVersion(from.name)
+	g := from.book.Group(f.now, from.book.BaseVersion(lifetime, version))
+	to.book.MergeGroup(f.now, g)
 	for _, c := range g.Changes {
-		to.usage.TakeIn(c.Node, c.Lifetime, c.Started)
+		to.usage.Merge(c.Node, c.Incarnation, c.Started)
 	}
 }
 
@@ -182,7 +182,7 @@
 	for _, n := range f.nodes {
 		for name, w := range n.words {
 			o := f.byName(name)
-			if !n.alive || w.Lifetime != o.life {
+			if !n.alive || w.Incarnation != o.life {
 				continue
 			}
 			for ws, x := range w.Spent {
@@ -213,14 +213,14 @@
 			if !assert.Equal(t, o.alive, ok, "%s at %s", o.name, n.name) || !ok {
 				continue
 			}
-			assert.Equal(t, o.life, w.Lifetime)
+			assert.Equal(t, o.life, w.Incarnation)
 			assert.Equal(t, o.spent, w.Spent, "%s at %s", o.name, n.name)
 		}
 		assert.Equal(t, all-n.load, running(n.share), "what the others have, at %s", n.name)
 	}
 }
 
-func running(shares []pool.Share) int {
+func running(shares []pool.PeerLoad) int {
 	sum := 0
 	for _, s := range shares {
 		for _, l := range s.Loads {
@@ -256,7 +256,7 @@
 		if !n.alive || !slices.Contains(Relays(f.hallOf(n, n.hall)), n.name) {
 			continue
 		}
-		n.usage.Others(func(name, life string, w usage.Windows) {
+		n.usage.EachOther(func(name, life string, w usage.Windows) {
 			o := f.byName(name)
 			if o.life != life {
 				return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,49 +56,49 @@
 // Report is what a node tells its relay.
 type Report struct {
 	Node     string
-	Lifetime string
+	Incarnation string
 	Sequence uint64 // rises with each report of a lifetime
 	Uptime   time.Duration
 	Loads    []pool.Load
 	Placed   []pool.Placement
 	Spent    map[string]float64 // tokens charged since the process began, by workspace
 	Started  usage.Windows      // requests begun, of the newest windows
-	Trials   []rollout.Word
-	Reach    pool.Reach
+	Trials   []rollout.Update
+	Reachability    pool.Reachability
 }
 
 // Change is what is new of one process.
 type Change struct {
 	Node     string
-	Lifetime string
+	Incarnation string
 	Sequence uint64 // of its newest report; 0: it has come to another relay, and no more is told
 	Uptime   time.Duration
 	Age      time.Duration      // of the report
 	Relay    string             // that the node reports to
-	Silent   bool               // the relay doesn't hear it any more
+	Unresponsive   bool               // the relay doesn't hear it any more
 	Spent    map[string]float64 // of the workspaces that changed
 	Started  usage.Windows      // between relays only
 }
 
 // Digest is what a relay tells a node: all that it knows of the other nodes.
 type Digest struct {
-	Lifetime string                   // of the relay's process
+	Incarnation string                   // of the relay's process
 	Version  uint64                   // up to which changes are told
-	Shares   []pool.Share             // of all nodes but the asker, as Shares returns them
+	Shares   []pool.PeerLoad             // of all nodes but the asker, as Shares returns them
 	Relays   map[string]time.Duration // age of what each relay has told of its nodes
 	Changes  []Change
 	Placed   []pool.Placement
-	Trials   []rollout.Word // of all nodes but the asker
-	Reach    pool.Reach     // of the other nodes that report here
+	Trials   []rollout.Update // of all nodes but the asker
+	Reachability    pool.Reachability     // of the other nodes that report here
 }
 
 // Group is what a relay tells another one: its own nodes.
 type Group struct {
 	Relay    string
-	Lifetime string
+	Incarnation string
 	Version  uint64 // up to which changes are told
-	Share    pool.Share
+	Share    pool.PeerLoad
 	Changes  []Change
 	Placed   []pool.Placement
-	Trials   []rollout.Word
+	Trials   []rollout.Update
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -155,35 +155,35 @@
 // TestLateWordOfAnOldProcess: what a relay hands on late of a process that is gone changes
 // nothing of the one that has taken its place.
 func TestLateWordOfAnOldProcess(t *testing.T) {
-	b := NewBook("r", "r1")
+	b := NewAggregator("r", "r1")
 	now := start.Add(time.Minute)
-	b.Gather(now, Report{Node: "a", Lifetime: "new", Sequence: 1, Uptime: time.Second, Spent: map[string]float64{"w": 1}})
-	b.TakeIn(now, Group{Relay: "q", Lifetime: "q1", Version: 9, Changes: []Change{
-		{Node: "a", Lifetime: "old", Sequence: 50, Uptime: 30 * time.Second, Age: 2 * time.Second, Relay: "q", Spent: map[string]float64{"w": 900}},
+	b.ApplyReport(now, Report{Node: "a", Incarnation: "new", Sequence: 1, Uptime: time.Second, Spent: map[string]float64{"w": 1}})
+	b.MergeGroup(now, Group{Relay: "q", Incarnation: "q1", Version: 9, Changes: []Change{
+		{Node: "a", Incarnation: "old", Sequence: 50, Uptime: 30 * time.Second, Age: 2 * time.Second, Relay: "q", Spent: map[string]float64{"w": 900}},
 	}})
 	d := b.Digest(now, "", 0)
 	assert.Len(t, d.Changes, 1)
-	assert.Equal(t, "new", d.Changes[0].Lifetime)
+	assert.Equal(t, "new", d.Changes[0].Incarnation)
 	assert.Equal(t, map[string]float64{"w": 1}, d.Changes[0].Spent)
 }
 
 // TestOrder: VMs with more cores come first, and others keep their places among themselves.
 func TestOrder(t *testing.T) {
 	nodes := map[string]float64{"a": 0.2, "b": 0.2, "c": 0.8, "d": 0.2}
-	before := Order(nodes)
+	before := RankNodes(nodes)
 	assert.Equal(t, "c", before[0])
 	nodes["c"] = 0.2
-	after := slices.DeleteFunc(Order(nodes), func(n string) bool { return n == "c" })
+	after := slices.DeleteFunc(RankNodes(nodes), func(n string) bool { return n == "c" })
 	assert.Equal(t, before[1:], after)
 }
 
 // TestPlacements: each is told once to each node, and anew after a while.
 func TestPlacements(t *testing.T) {
-	b := NewBook("r", "r1")
+	b := NewAggregator("r", "r1")
 	p := pool.Placement{Prefix: 1, Upstream: "u"}
 	now := start
 	report := func(sequence uint64) {
-		b.Gather(now, Report{Node: "a", Lifetime: "1", Sequence: sequence, Placed: []pool.Placement{p}})
+		b.ApplyReport(now, Report{Node: "a", Incarnation: "1", Sequence: sequence, Placed: []pool.Placement{p}})
 	}
 	report(1)
 	d := b.Digest(now, "b", 0)
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -13,8 +13,8 @@
 
 // Group returns what is new of this relay's own nodes after a version of this book. An
 // asker that doesn't know this process gives version 0.
-func (b *Book) Group(now time.Time, after uint64) Group {
-	g := Group{Relay: b.self, Lifetime: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
+func (b *Aggregator) Group(now time.Time, after uint64) Group {
+	g := Group{Relay: b.self, Incarnation: b.lifetime, Share: b.own(now, ""), Trials: b.ownTrials("")}
 	g.Changes, g.Version = b.changes(now, after, func(_ string, v *record) uint64 {
 		if v.relay != b.self {
 			return v.left
@@ -26,7 +26,7 @@
 		if v := b.records[c.Node]; v.relay == b.self {
 			c.Started = v.started
 		} else {
-			*c = Change{Node: c.Node, Lifetime: c.Lifetime, Silent: true}
+			*c = Change{Node: c.Node, Incarnation: c.Incarnation, Unresponsive: true}
 		}
 	}
 	g.Placed = b.placements(after, g.Version, func(p placing) bool { return p.relay == b.self })
@@ -34,7 +34,7 @@
 }
 
 // Heard returns when a node was last heard.
-func (b *Book) Heard(node string) time.Time {
+func (b *Aggregator) LastSeen(node string) time.Time {
 	if v := b.records[node]; v != nil {
 		return v.heard
 	}
@@ -42,8 +42,8 @@
 }
 
 // Digest returns what is new to a node after a version of this book.
-func (b *Book) Digest(now time.Time, asker string, after uint64) Digest {
-	d := Digest{Lifetime: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
+func (b *Aggregator) Digest(now time.Time, asker string, after uint64) Digest {
+	d := Digest{Incarnation: b.lifetime, Relays: map[string]time.Duration{b.self: 0}, Shares: b.Shares(now, asker)}
 	for name, g := range b.groups {
 		if age := now.Sub(g.heard); age <= recordKeeps {
 			d.Relays[name] = age
@@ -58,16 +58,16 @@
 	d.Placed = b.placements(after, d.Version, func(placing) bool { return true })
 	d.Trials = b.ownTrials(asker)
 	d.Trials = rollout.Merge(d.Trials, b.otherTrials(now))
-	d.Reach = b.reach(now, asker)
+	d.Reachability = b.reach(now, asker)
 	return d
 }
 
 // reach is what this relay's nodes, which are of one hall, have found out but for one of them.
-func (b *Book) reach(now time.Time, but string) pool.Reach {
-	var sum pool.Reach
+func (b *Aggregator) reach(now time.Time, but string) pool.Reachability {
+	var sum pool.Reachability
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
-			sum = sum.Plus(v.reach, now.Sub(v.heard))
+			sum = sum.Merge(v.reach, now.Sub(v.heard))
 		}
 	}
 	return sum
@@ -75,8 +75,8 @@
 
 // otherTrials is what the other relays' nodes have seen of roll-outs. A relay that isn't heard
 // doesn't count: its nodes tell the same through another one, or are cut off.
-func (b *Book) otherTrials(now time.Time) []rollout.Word {
-	var sum []rollout.Word
+func (b *Aggregator) otherTrials(now time.Time) []rollout.Update {
+	var sum []rollout.Update
 	for _, g := range b.groups {
 		if now.Sub(g.heard) <= silentAfter {
 			sum = rollout.Merge(sum, g.trials)
@@ -87,8 +87,8 @@
 
 // ownTrials is what this relay's nodes have seen of roll-outs, but for one of them, those
 // included that aren't heard any more: what they saw stays true.
-func (b *Book) ownTrials(but string) []rollout.Word {
-	var sum []rollout.Word
+func (b *Aggregator) ownTrials(but string) []rollout.Update {
+	var sum []rollout.Update
 	for name, v := range b.records {
 		if v.relay != b.self {
 			continue
@@ -103,12 +103,12 @@
 
 // Shares returns what all nodes but one have: first the nodes of this relay, then those of
 // the others.
-func (b *Book) Shares(now time.Time, but string) []pool.Share {
-	return []pool.Share{b.own(now, but), b.others(now)}
+func (b *Aggregator) Shares(now time.Time, but string) []pool.PeerLoad {
+	return []pool.PeerLoad{b.own(now, but), b.others(now)}
 }
 
 // own is what this relay's nodes have, but for one of them.
-func (b *Book) own(now time.Time, but string) pool.Share {
+func (b *Aggregator) own(now time.Time, but string) pool.PeerLoad {
 	var s sum
 	for name, v := range b.records {
 		if name != but && v.relay == b.self && !v.silent {
@@ -119,7 +119,7 @@
 }
 
 // others is what the other relays' nodes have.
-func (b *Book) others(now time.Time) pool.Share {
+func (b *Aggregator) others(now time.Time) pool.PeerLoad {
 	var s sum
 	for _, g := range b.groups {
 		if age := now.Sub(g.heard); age <= silentAfter {
@@ -132,7 +132,7 @@
 // changes returns the records that changed after a version, the oldest changes first, and
 // the version up to which they are told. newest is the version of a record's newest change,
 // 0 if it isn't told.
-func (b *Book) changes(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
+func (b *Aggregator) changes(now time.Time, after uint64, newest func(name string, v *record) uint64) ([]Change, uint64) {
 	type dated struct {
 		node  string
 		since uint64 // version of the oldest change that isn't told
@@ -172,7 +172,7 @@
 
 func (v *record) change(now time.Time, node string, after uint64) Change {
 	c := Change{
-		Node: node, Lifetime: v.lifetime, Sequence: v.sequence, Uptime: v.heard.Sub(v.began), Age: now.Sub(v.heard), Relay: v.relay, Silent: v.silent,
+		Node: node, Incarnation: v.lifetime, Sequence: v.sequence, Uptime: v.heard.Sub(v.began), Age: now.Sub(v.heard), Relay: v.relay, Unresponsive: v.silent,
 		Spent: make(map[string]float64),
 	}
 	for w, x := range v.spent {
@@ -183,7 +183,7 @@
 	return c
 }
 
-func (b *Book) placements(after, upto uint64, counts func(placing) bool) []pool.Placement {
+func (b *Aggregator) placements(after, upto uint64, counts func(placing) bool) []pool.Placement {
 	var list []pool.Placement
 	for _, p := range b.placed {
 		if p.version > after && p.version <= upto && counts(p) {
@@ -209,15 +209,15 @@
 		v.Upstream = l.Upstream
 		v.Running += l.Running
 		v.Queued += l.Queued
-		v.Held += l.Held
+		v.Reserved += l.Reserved
 		s.loads[l.Upstream] = v
 		s.aged += age * time.Duration(l.Running)
 		s.runs += l.Running
 	}
 }
 
-func (s *sum) share() pool.Share {
-	v := pool.Share{Loads: make([]pool.Load, 0, len(s.loads))}
+func (s *sum) share() pool.PeerLoad {
+	v := pool.PeerLoad{Loads: make([]pool.Load, 0, len(s.loads))}
 	for _, l := range s.loads {
 		v.Loads = append(v.Loads, l)
 	}
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -8,9 +8,9 @@
 // This file is the other side of a digest: what a node knows of the others by its relay.
 
 // Word is what a node knows of another one's process.
-type Word struct {
+type Update struct {
 	Node     string
-	Lifetime string
+	Incarnation string
 	Sequence uint64
 	Uptime   time.Duration // now
 	Age      time.Duration // since the node was heard by its relay
@@ -26,7 +26,7 @@
 }
 
 type told struct {
-	Word
+	Update
 	relay  string
 	silent bool      // its relay doesn't hear it
 	began  time.Time // of the process
@@ -34,7 +34,7 @@
 
 // Known returns the relay's process and the version up to which its changes are known, for
 // the next question to that relay.
-func (v *View) Known(relay string) (lifetime string, version uint64) {
+func (v *View) KnownVersion(relay string) (lifetime string, version uint64) {
 	if relay != v.relay {
 		return "", 0
 	}
@@ -43,15 +43,15 @@
 
 // Take takes in a relay's digest, and returns what is known by it of each node that some
 // relay hears.
-func (v *View) Take(now time.Time, relay string, d Digest) []Word {
-	if relay != v.relay || d.Lifetime != v.lifetime {
-		*v = View{relay: relay, lifetime: d.Lifetime, nodes: make(map[string]*told)}
+func (v *View) ApplyDigest(now time.Time, relay string, d Digest) []Update {
+	if relay != v.relay || d.Incarnation != v.lifetime {
+		*v = View{relay: relay, lifetime: d.Incarnation, nodes: make(map[string]*told)}
 	}
 	v.version = d.Version
 	for _, c := range d.Changes {
 		v.change(now, c)
 	}
-	var list []Word
+	var list []Update
 	for _, t := range v.nodes {
 		age, heard := d.Relays[t.relay]
 		if t.silent || !heard || age > silentAfter {
@@ -59,7 +59,7 @@
 		}
 		t.Age = age
 		t.Uptime = now.Sub(t.began)
-		list = append(list, t.Word)
+		list = append(list, t.Update)
 	}
 	return list
 }
@@ -67,9 +67,9 @@
 // change keeps a silent node, too: once it is heard again, only what changed is told.
 func (v *View) change(now time.Time, c Change) {
 	old := v.nodes[c.Node]
-	t := &told{Word: Word{Node: c.Node, Lifetime: c.Lifetime, Sequence: c.Sequence}, relay: c.Relay, silent: c.Silent, began: now.Add(-c.Uptime - c.Age)}
+	t := &told{Update: Update{Node: c.Node, Incarnation: c.Incarnation, Sequence: c.Sequence}, relay: c.Relay, silent: c.Unresponsive, began: now.Add(-c.Uptime - c.Age)}
 	t.Spent = c.Spent
-	if old != nil && old.Lifetime == c.Lifetime {
+	if old != nil && old.Incarnation == c.Incarnation {
 		t.Spent = maps.Clone(old.Spent) // whoever was given it keeps it
 		maps.Copy(t.Spent, c.Spent)
 	}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -35,10 +35,10 @@
 	Service   string
 	Body      []byte
 	Job       bool
-	Accepted  time.Time
+	AcceptedAt  time.Time
 	Owner     string
-	From      string // the owner before, known only to the one after it
-	Pieces    []string
+	PreviousOwner      string // the owner before, known only to the one after it
+	Tokens    []string
 	Attempt   int
 	Outcome   stream.Outcome
 	Failure   string
@@ -48,10 +48,10 @@
 func New(s Spec) *Request {
 	r := &Request{
 		id: s.ID, workspace: s.Workspace, service: s.Service, body: s.Body, job: s.Job,
-		accepted: s.Accepted, owner: s.Owner, from: s.From, record: stream.Restore(s.ID, s.Pieces, s.Attempt),
+		accepted: s.AcceptedAt, owner: s.Owner, from: s.PreviousOwner, record: stream.Restore(s.ID, s.Tokens, s.Attempt),
 	}
 	if s.Outcome != stream.OutcomeOpen {
-		r.record.Finish(s.Outcome, s.Failure, 0, s.Accepted)
+		r.record.Finish(s.Outcome, s.Failure, 0, s.AcceptedAt)
 	}
 	return r
 }
@@ -72,7 +72,7 @@
 func (r *Request) Job() bool { return r.job }
 
 // Accepted returns when it was accepted.
-func (r *Request) Accepted() time.Time { return r.accepted }
+func (r *Request) AcceptedAt() time.Time { return r.accepted }
 
 // Record returns the answer.
 func (r *Request) Record() *stream.Record { return r.record }
@@ -85,7 +85,7 @@
 }
 
 // From returns the node that had the request before, if it was taken over.
-func (r *Request) From() string { return r.from }
+func (r *Request) PreviousOwner() string { return r.from }
 
 // SetOwner changes who runs it.
 func (r *Request) SetOwner(id string) {
@@ -96,7 +96,7 @@
 
 // Running notes that the request runs here, with what stops it. The function it returns
 // is called when it no longer does.
-func (r *Request) Running(cancel func()) func() {
+func (r *Request) MarkRunning(cancel func()) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cancel, r.moved, r.done = cancel, false, make(chan struct{})
@@ -104,7 +104,7 @@
 }
 
 // Abandon stops the running request, which then ends without an answer.
-func (r *Request) Abandon() {
+func (r *Request) Cancel() {
 	r.mu.Lock()
 	f := r.cancel
 	r.mu.Unlock()
@@ -137,26 +137,26 @@
 func (r *Request) Spec() Spec {
 	v := r.record.Read(0)
 	return Spec{
-		ID: r.id, Workspace: r.workspace, Service: r.service, Body: r.body, Job: r.job, Accepted: r.accepted,
-		Owner: r.Owner(), Pieces: v.Pieces, Attempt: r.record.Attempt(), Outcome: v.Outcome, Failure: v.Failure,
+		ID: r.id, Workspace: r.workspace, Service: r.service, Body: r.body, Job: r.job, AcceptedAt: r.accepted,
+		Owner: r.Owner(), Tokens: v.Tokens, Attempt: r.record.Attempt(), Outcome: v.Outcome, Failure: v.Failure,
 	}
 }
 
 // Wire returns the form between processes.
 func (s *Spec) Wire() *wire.HeldRequest {
 	return &wire.HeldRequest{
-		Id: s.ID, Workspace: s.Workspace, Service: s.Service, Body: s.Body, Pieces: s.Pieces, Job: s.Job,
+		Id: s.ID, Workspace: s.Workspace, Service: s.Service, Body: s.Body, Pieces: s.Tokens, Job: s.Job,
 		Attempt: int32(s.Attempt), Outcome: string(s.Outcome), Failure: s.Failure,
-		AcceptedUnixMs: s.Accepted.UnixMilli(), Owner: s.Owner,
+		AcceptedUnixMs: s.AcceptedAt.UnixMilli(), Owner: s.Owner,
 	}
 }
 
 // FromWire reads the form between processes.
 func FromWire(w *wire.HeldRequest) Spec {
 	return Spec{
-		ID: w.Id, Workspace: w.Workspace, Service: w.Service, Body: w.Body, Pieces: w.Pieces, Job: w.Job,
+		ID: w.Id, Workspace: w.Workspace, Service: w.Service, Body: w.Body, Tokens: w.Pieces, Job: w.Job,
 		Attempt: int(w.Attempt), Outcome: stream.Outcome(w.Outcome), Failure: w.Failure,
-		Accepted: time.UnixMilli(w.AcceptedUnixMs), Owner: w.Owner,
+		AcceptedAt: time.UnixMilli(w.AcceptedUnixMs), Owner: w.Owner,
 	}
 }
 
@@ -234,7 +234,7 @@
 	n := 0
 	for id, r := range g.held {
 		v := r.record.Read(0)
-		if v.Outcome != stream.OutcomeOpen && v.Finished.Before(before) {
+		if v.Outcome != stream.OutcomeOpen && v.FinishedAt.Before(before) {
 			delete(g.held, id)
 			n++
 		}
--- a/internal/retry/outlier.go
+++ b/internal/retry/outlier.go
@@ -86,7 +86,7 @@
 
 // Unclear notes an attempt that says nothing of the upstream's health: its caller left,
 // or it was refused. A probe that ends so may be repeated at once.
-func (o *Outliers) Unclear(now time.Duration, id string) {
+func (o *Outliers) Inconclusive(now time.Duration, id string) {
 	h := o.health[id]
 	if h != nil && h.life.Is("probing") {
 		_ = h.life.Fire("unclear")
--- a/internal/retry/rests.go
+++ b/internal/retry/rests.go
@@ -7,22 +7,22 @@
 //
 // Weighed: to leave an upstream that rests in the choice at a high cost, as one that is full is. One
 // that asks for rest turns away all that reaches it, and the operators' bound is two sends.
-type Rests struct {
-	until map[Lifetime]time.Time
+type Cooldowns struct {
+	until map[Incarnation]time.Time
 }
 
 // Lifetime names one life of an upstream: rest that one asks for isn't the next one's.
-type Lifetime struct {
+type Incarnation struct {
 	ID   string
 	Born int64 // 0: unsaid
 }
 
 // NewRests returns the rests of upstreams of which none has asked for any.
-func NewRests() *Rests { return &Rests{until: make(map[Lifetime]time.Time)} }
+func NewCooldowns() *Cooldowns { return &Cooldowns{until: make(map[Incarnation]time.Time)} }
 
 // Ask takes in that an upstream wants nothing for so long, and returns whether that is new. Of two
 // such words the one that reaches further holds: answers may overtake each other.
-func (r *Rests) Ask(now time.Time, l Lifetime, d time.Duration) bool {
+func (r *Cooldowns) Start(now time.Time, l Incarnation, d time.Duration) bool {
 	for k, until := range r.until {
 		if !now.Before(until) {
 			delete(r.until, k)
@@ -36,17 +36,17 @@
 }
 
 // Forget drops what one life has asked for that is over, where its name may be the next one's, too.
-func (r *Rests) Forget(l Lifetime) { delete(r.until, l) }
+func (r *Cooldowns) Forget(l Incarnation) { delete(r.until, l) }
 
 // Left returns how long an upstream is to get nothing; 0: it may be asked.
-func (r *Rests) Left(now time.Time, l Lifetime) time.Duration { return max(0, r.until[l].Sub(now)) }
+func (r *Cooldowns) Wait(now time.Time, l Incarnation) time.Duration { return max(0, r.until[l].Sub(now)) }
 
 // Soonest returns how long it takes until the first of some upstreams may be asked; 0: one may be now,
 // or there are none.
-func (r *Rests) Soonest(now time.Time, list []Lifetime) time.Duration {
+func (r *Cooldowns) ShortestWait(now time.Time, list []Incarnation) time.Duration {
 	least := time.Duration(0)
 	for _, l := range list {
-		d := r.Left(now, l)
+		d := r.Wait(now, l)
 		if d == 0 {
 			return 0
 		}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -47,9 +47,9 @@
 	Repeatable bool // it may run again after it may have run
 	MayHaveRun bool // some attempt of it may have
 	Sent       int  // attempts that count
-	Most       int  // of these, at most
-	Left       time.Duration
-	Least      time.Duration // time left that makes another attempt worth its cost
+	MaxSent       int  // of these, at most
+	TimeLeft       time.Duration
+	MinTimeLeft      time.Duration // time left that makes another attempt worth its cost
 }
 
 // Verdict is what to do after a failed attempt.
@@ -68,8 +68,8 @@
 // The reasons.
 const (
 	ReasonNone     Reason = iota
-	ReasonTime            // the time for an answer is over, or nearly so
-	ReasonOnce            // it may have run and may not run twice
+	ReasonDeadline            // the time for an answer is over, or nearly so
+	ReasonNotRepeatable            // it may have run and may not run twice
 	ReasonAttempts        // it has had as many as it may
 	ReasonBudget          // the budget is spent
 )
@@ -79,11 +79,11 @@
 func Decide(a Attempt, take func() bool) (Verdict, Reason) {
 	why := ReasonNone
 	switch {
-	case a.Left <= a.Least:
-		why = ReasonTime
+	case a.TimeLeft <= a.MinTimeLeft:
+		why = ReasonDeadline
 	case a.MayHaveRun && !a.Repeatable:
-		why = ReasonOnce
-	case a.Sent >= a.Most:
+		why = ReasonNotRepeatable
+	case a.Sent >= a.MaxSent:
 		why = ReasonAttempts
 	case !take():
 		why = ReasonBudget
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,18 +17,18 @@
 		want Verdict
 		why  Reason
 	}{
-		{"nothing ran", Attempt{Sent: 1, Left: left}, VerdictRetry, ReasonNone},
-		{"may have run, may not be repeated", Attempt{MayHaveRun: true, Sent: 1, Left: left}, VerdictUnknown, ReasonOnce},
-		{"may have run, may be repeated", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1, Left: left}, VerdictRetry, ReasonNone},
-		{"too often", Attempt{Sent: 4, Left: left}, VerdictNotRun, ReasonAttempts},
-		{"too often, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 4, Left: left}, VerdictUnknown, ReasonAttempts},
-		{"too late", Attempt{Sent: 1, Left: time.Millisecond}, VerdictNotRun, ReasonTime},
-		{"too late, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonTime},
-		{"too late, may not be repeated", Attempt{MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonTime},
+		{"nothing ran", Attempt{Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
+		{"may have run, may not be repeated", Attempt{MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictUnknown, ReasonNotRepeatable},
+		{"may have run, may be repeated", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1, TimeLeft: left}, VerdictRetry, ReasonNone},
+		{"too often", Attempt{Sent: 4, TimeLeft: left}, VerdictNotRun, ReasonAttempts},
+		{"too often, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 4, TimeLeft: left}, VerdictUnknown, ReasonAttempts},
+		{"too late", Attempt{Sent: 1, TimeLeft: time.Millisecond}, VerdictNotRun, ReasonDeadline},
+		{"too late, may have run", Attempt{Repeatable: true, MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonDeadline},
+		{"too late, may not be repeated", Attempt{MayHaveRun: true, Sent: 1}, VerdictUnknown, ReasonDeadline},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.a.Most, c.a.Least = 4, 20*time.Millisecond
+			c.a.MaxSent, c.a.MinTimeLeft = 4, 20*time.Millisecond
 			v, why := Decide(c.a, func() bool { return true })
 			assert.Equal(t, c.want, v)
 			assert.Equal(t, c.why, why)
@@ -40,7 +40,7 @@
 		})
 	}
 	t.Run("what isn't tried again costs no budget", func(t *testing.T) {
-		_, _ = Decide(Attempt{Most: 4}, func() bool { t.Error("taken"); return true })
+		_, _ = Decide(Attempt{MaxSent: 4}, func() bool { t.Error("taken"); return true })
 	})
 }
 
@@ -78,7 +78,7 @@
 			case 0:
 				o.Success(id)
 			case 1:
-				o.Unclear(now, id)
+				o.Inconclusive(now, id)
 			default:
 				o.Failure(now, id, size)
 			}
--- a/internal/retry/tries.go
+++ b/internal/retry/tries.go
@@ -14,7 +14,7 @@
 //
 // Weighed: a larger number for all. A hall that is cut off costs the time-out of a connection at each
 // of its upstreams, and the caller would be told late what is known after a few.
-type Tries struct {
+type SearchLimit struct {
 	turned int // upstreams that were reached and didn't take it, in vain either way
 	missed int // upstreams that couldn't be reached
 	lost   time.Duration
@@ -29,34 +29,34 @@
 )
 
 // Search is where the next try may go.
-type Search int
+type SearchScope int
 
 // The searches.
 const (
-	SearchAll   Search = iota // to any upstream
-	SearchFresh               // to one that this node hasn't failed to reach lately
-	SearchOver                // to none
+	ScopeAll   SearchScope = iota // to any upstream
+	ScopeReachable               // to one that this node hasn't failed to reach lately
+	ScopeNone                // to none
 )
 
 // Turned notes an upstream that was reached.
-func (t *Tries) Turned() { t.turned++ }
+func (t *SearchLimit) RecordReached() { t.turned++ }
 
 // Missed notes an upstream that couldn't be reached, which took that long to find out.
-func (t *Tries) Missed(took time.Duration) {
+func (t *SearchLimit) RecordUnreachable(took time.Duration) {
 	t.missed++
 	t.lost += took
 }
 
 // Reached returns how many upstreams were reached.
-func (t *Tries) Reached() int { return t.turned }
+func (t *SearchLimit) Reached() int { return t.turned }
 
 // Next returns where the next try may go.
-func (t *Tries) Next() Search {
+func (t *SearchLimit) Next() SearchScope {
 	switch {
 	case t.turned+t.missed < triesMost:
-		return SearchAll
+		return ScopeAll
 	case t.turned < triesMost && t.missed > 0 && t.lost < lostMost:
-		return SearchFresh
+		return ScopeReachable
 	}
-	return SearchOver
+	return ScopeNone
 }
--- a/internal/retry/tries_test.go
+++ b/internal/retry/tries_test.go
@@ -10,15 +10,15 @@
 // search plays a request of whose tries some are turned away and the others refused connections, each of
 // which takes so long, and returns how many upstreams it looked at.
 func search(turned int, took time.Duration, most int) int {
-	var t Tries
+	var t SearchLimit
 	for n := range most {
-		if t.Next() == SearchOver {
+		if t.Next() == ScopeNone {
 			return n
 		}
 		if n < turned {
-			t.Turned()
+			t.RecordReached()
 		} else {
-			t.Missed(took)
+			t.RecordUnreachable(took)
 		}
 	}
 	return most
@@ -32,21 +32,21 @@
 	t.Run("but by the time lost on them", func(t *testing.T) { assert.Equal(t, 100, search(0, time.Millisecond, 300)) })
 	t.Run("silent ones cost a connection's time-out each", func(t *testing.T) { assert.Equal(t, triesMost, search(0, 250*time.Millisecond, 99)) })
 	t.Run("beyond them only to those that weren't found dead", func(t *testing.T) {
-		var v Tries
+		var v SearchLimit
 		for range triesMost {
-			assert.Equal(t, SearchAll, v.Next())
-			v.Missed(quick)
+			assert.Equal(t, ScopeAll, v.Next())
+			v.RecordUnreachable(quick)
 		}
-		assert.Equal(t, SearchFresh, v.Next())
+		assert.Equal(t, ScopeReachable, v.Next())
 	})
 	t.Run("four that turn it away among many dead ones leave one", func(t *testing.T) {
-		var v Tries
+		var v SearchLimit
 		for range 4 {
-			v.Turned()
-			v.Missed(quick)
+			v.RecordReached()
+			v.RecordUnreachable(quick)
 		}
-		assert.Equal(t, SearchFresh, v.Next())
-		v.Turned()
-		assert.Equal(t, SearchOver, v.Next())
+		assert.Equal(t, ScopeReachable, v.Next())
+		v.RecordReached()
+		assert.Equal(t, ScopeNone, v.Next())
 	})
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -87,8 +87,8 @@
 	Reason Reason  // of the largest sum
 	Route  string  // of the largest sum; empty: all routes
 	Sum    float64 // the largest one, as a part of its bound
-	Target float64 // rate at the target in what was taken in last
-	Others float64 // rate at the version in service
+	TargetRate float64 // rate at the target in what was taken in last
+	InServiceRate float64 // rate at the version in service
 }
 
 // Judge takes in growing tallies. Its zero value has seen nothing.
@@ -134,7 +134,7 @@
 
 // beyond is what a cell has beyond another one.
 func (c *Cell) beyond(o *Cell) Cell {
-	d := Cell{Answers: max(0, c.Answers-o.Answers), Failed: max(0, c.Failed-o.Failed)}
+	d := Cell{Responses: max(0, c.Responses-o.Responses), Failed: max(0, c.Failed-o.Failed)}
 	for i := range c.First {
 		d.First[i] = max(0, c.First[i]-o.First[i])
 		d.Pace[i] = max(0, c.Pace[i]-o.Pace[i])
@@ -260,7 +260,7 @@
 }
 
 func (s *sums) fails(d *Row) Verdict {
-	n, failed := float64(d[groupInService].Answers), float64(d[groupInService].Failed)
+	n, failed := float64(d[groupInService].Responses), float64(d[groupInService].Failed)
 	s.old.take(newest, n, failed)
 	s.last.take(lately, n, failed)
 	if s.old.answers < leastKnown {
@@ -269,11 +269,11 @@
 	p := math.Max(s.old.rate(s.old.failed), s.last.rate(s.last.failed)-1/lately)
 	p = math.Min(0.7, math.Max(leastFailing, p))
 	o, target := odds{p, p + failMargin}, d.target()
-	if s.alone(n, float64(target.Answers)) {
+	if s.alone(n, float64(target.Responses)) {
 		p = math.Max(p, aloneFailing)
 		o = odds{p, p + aloneFailMargin}
 	}
-	return s.add(o, d, func(c *Cell) (bad, all float64) { return float64(c.Failed), float64(c.Answers) })
+	return s.add(o, d, func(c *Cell) (bad, all float64) { return float64(c.Failed), float64(c.Responses) })
 }
 
 func (s *sums) slow(d *Row, of func(c *Cell) *Histogram) Verdict {
@@ -330,7 +330,7 @@
 		s.without[g] = math.Max(0, s.without[g]+gained-x[g])
 		s.clear[g] = math.Max(clearLeast, s.clear[g]+gained-x[g])
 	}
-	return Verdict{Bad: s.part() >= 1, Sum: s.part(), Target: bad / math.Max(1, all), Others: o.good}
+	return Verdict{Bad: s.part() >= 1, Sum: s.part(), TargetRate: bad / math.Max(1, all), InServiceRate: o.good}
 }
 
 // isClear tells whether the newest answers, or those without some group, speak for the target.
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -26,7 +26,7 @@
 func (a *answers) add(group, n int, k kind) {
 	c := &a.tally.row("r")[group]
 	for i := 0; i < n; i++ {
-		c.Answers++
+		c.Responses++
 		if a.random.Float64() < k.fails {
 			c.Failed++
 			continue
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -78,14 +78,14 @@
 // State is what stands in the store of a roll-out.
 type State struct {
 	Order Order
-	Began time.Time // when the order was given, as far as is known
+	OrderedAt time.Time // when the order was given, as far as is known
 	Stage Stage
 	Since time.Time // when the stage began
 	// Answers is how many answers of the target had been seen when the stage began, and Seen
 	// how many when the holder before last said so in the store; 0: it began under this one.
-	Answers int64
-	Seen    int64
-	Found   time.Time // when this holder found the stage; zero: it began under this one
+	Responses int64
+	PriorResponses    int64
+	FoundAt   time.Time // when this holder found the stage; zero: it began under this one
 	lost    bool      // those that had seen the target before are gone
 }
 
@@ -94,9 +94,9 @@
 	Invalid   bool
 	Withdrawn bool
 	Target    int   // upstreams of the target that take requests
-	Others    int   // of other versions
+	OtherVersions    int   // of other versions
 	Running   int   // requests at upstreams of other versions
-	Answers   int64 // of the target, seen by the processes that live
+	Responses   int64 // of the target, seen by the processes that live
 	Stopped   bool
 	Suspicion float64 // that the target is bad; 1 stops it
 	Clear     bool    // the target's newest answers speak for it
@@ -104,7 +104,7 @@
 
 // Next returns the stage that a roll-out is to be in, and why.
 func (s State) Next(now time.Time, f Facts) (Stage, Cause) {
-	past := now.Sub(s.Began)
+	past := now.Sub(s.OrderedAt)
 	part := func(x float64) time.Duration { return time.Duration(x * float64(s.Order.Duration)) }
 	switch {
 	case s.Stage.Ended():
@@ -129,14 +129,14 @@
 
 // lasts is how long a step is observed: less if it began late.
 func (s State) lasts() time.Duration {
-	late := float64(s.Since.Sub(s.Began))/float64(s.Order.Duration) - trialUntil - float64(s.Stage-StageFifth)*stepFor
+	late := float64(s.Since.Sub(s.OrderedAt))/float64(s.Order.Duration) - trialUntil - float64(s.Stage-StageFifth)*stepFor
 	return time.Duration(max(leastStep, stepFor-max(0, late)) * float64(s.Order.Duration))
 }
 
 // begin leaves the waiting stage.
 func (s State) begin(f Facts) (Stage, Cause) {
 	switch {
-	case f.Target > 0 && f.Others == 0:
+	case f.Target > 0 && f.OtherVersions == 0:
 		return StageCompleted, CauseNothingOld
 	case f.Target == 0:
 		return StageWaiting, CauseFewUpstream
@@ -151,9 +151,9 @@
 		return s.Stage, CauseSuspected
 	case s.Stage >= StageFifth && !f.Clear:
 		return s.Stage, CauseSuspected
-	case !s.shown(f.Answers):
+	case !s.shown(f.Responses):
 		return s.Stage, CauseFewAnswers
-	case float64(f.Target) < leastUpstreams*float64(f.Others):
+	case float64(f.Target) < leastUpstreams*float64(f.OtherVersions):
 		return s.Stage, CauseFewUpstream
 	}
 	return s.Stage + 1, CauseObserved
@@ -165,10 +165,10 @@
 
 // Settle returns the state once it is known whether those that had seen the target before this
 // holder's term live: it is asked with each decision.
-func (s State) Settle(now time.Time, answers int64) State {
-	if !s.Found.IsZero() && now.Sub(s.Found) >= foundWithin {
-		s.lost = answers < s.Seen
-		s.Found = time.Time{}
+func (s State) ResolveTakeover(now time.Time, answers int64) State {
+	if !s.FoundAt.IsZero() && now.Sub(s.FoundAt) >= foundWithin {
+		s.lost = answers < s.PriorResponses
+		s.FoundAt = time.Time{}
 	}
 	return s
 }
@@ -176,26 +176,26 @@
 // shown tells whether the target has shown enough in this stage, by so many answers seen.
 func (s State) shown(answers int64) bool {
 	switch {
-	case !s.Found.IsZero():
+	case !s.FoundAt.IsZero():
 		return false
 	case s.lost:
 		return answers >= leastAfterLoss
 	}
-	return answers-s.Answers >= leastAnswers
+	return answers-s.Responses >= leastAnswers
 }
 
 // Go returns the state at the start of another stage, with so many answers seen.
-func (s State) Go(now time.Time, next Stage, answers int64) State {
-	return State{Order: s.Order, Began: s.Began, Stage: next, Since: now, Answers: answers}
+func (s State) Advance(now time.Time, next Stage, answers int64) State {
+	return State{Order: s.Order, OrderedAt: s.OrderedAt, Stage: next, Since: now, Responses: answers}
 }
 
 // SeenEvery is how often the holder writes how many answers have been seen.
-const SeenEvery = 2 * time.Second
+const ResponsesWriteInterval = 2 * time.Second
 
 // full ends the last stage.
 func (s State) full(now time.Time, f Facts) (Stage, Cause) {
 	part := func(x float64) time.Duration { return time.Duration(x * float64(s.Order.Duration)) }
-	late := now.Sub(s.Began) >= part(endBy)
+	late := now.Sub(s.OrderedAt) >= part(endBy)
 	switch {
 	case f.Target == 0:
 		return StageRolledBack, CauseFewUpstream
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -10,14 +10,14 @@
 
 // well is what a holder knows when nothing speaks against the target.
 func well(answers int64) Facts {
-	return Facts{Target: 10, Others: 10, Running: 5, Answers: answers, Clear: true}
+	return Facts{Target: 10, OtherVersions: 10, Running: 5, Responses: answers, Clear: true}
 }
 
 // assertNext checks what follows a stage at a moment, if the stage began long enough ago.
 func assertNext(t *testing.T, from Stage, part float64, f Facts, want Stage, cause Cause) {
 	t.Helper()
 	now := at(time.Duration(part * float64(order.Duration)))
-	s := State{Order: order, Began: start, Stage: from, Since: now.Add(-time.Second)}
+	s := State{Order: order, OrderedAt: start, Stage: from, Since: now.Add(-time.Second)}
 	next, why := s.Next(now, f)
 	assert.Equal(t, want, next, "%v", why)
 	assert.Equal(t, cause, why)
@@ -39,7 +39,7 @@
 	}{
 		{"begins", StageWaiting, 0.01, well(0), StageTrial, CauseOrdered},
 		{"waits for upstreams of the target", StageWaiting, 0.1, change(func(v *Facts) { v.Target = 0 }), StageWaiting, CauseFewUpstream},
-		{"has nothing to move", StageWaiting, 0.1, change(func(v *Facts) { v.Others = 0 }), StageCompleted, CauseNothingOld},
+		{"has nothing to move", StageWaiting, 0.1, change(func(v *Facts) { v.OtherVersions = 0 }), StageCompleted, CauseNothingOld},
 		{"stays on trial", StageTrial, 0.6, well(100), StageTrial, CauseNone},
 		{"goes on", StageTrial, 0.63, well(100), StageFifth, CauseObserved},
 		{"waits under suspicion", StageTrial, 0.63, change(func(v *Facts) { v.Suspicion = 0.7 }), StageTrial, CauseSuspected},
@@ -63,21 +63,21 @@
 
 // TestAnswersOfALostFleet: after a loss of all nodes, more has to be seen.
 func TestAnswersOfALostFleet(t *testing.T) {
-	s := State{Order: order, Stage: StageFifth, Answers: 200}
+	s := State{Order: order, Stage: StageFifth, Responses: 200}
 	assert.False(t, s.shown(219))
 	assert.True(t, s.shown(220))
-	s.Seen, s.Found = 300, start
-	s = s.Settle(at(foundWithin-1), 15)
+	s.PriorResponses, s.FoundAt = 300, start
+	s = s.ResolveTakeover(at(foundWithin-1), 15)
 	assert.False(t, s.shown(500), "who lives isn't known yet")
 	t.Run("where only the holder was lost", func(t *testing.T) {
-		v := s.Settle(at(foundWithin), 310)
+		v := s.ResolveTakeover(at(foundWithin), 310)
 		assert.True(t, v.shown(310))
 	})
 	t.Run("where all were", func(t *testing.T) {
-		v := s.Settle(at(foundWithin), 15).Settle(at(time.Minute), 400)
+		v := s.ResolveTakeover(at(foundWithin), 15).ResolveTakeover(at(time.Minute), 400)
 		assert.False(t, v.shown(79))
 		assert.True(t, v.shown(80))
-		v = v.Go(at(time.Minute), StageTwoFifths, 80)
+		v = v.Advance(at(time.Minute), StageTwoFifths, 80)
 		assert.True(t, v.shown(100), "the next stage begins anew")
 	})
 }
@@ -86,13 +86,13 @@
 // ended stays so.
 func TestStagesOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := State{Order: order, Began: start, Since: start}
+		s := State{Order: order, OrderedAt: start, Since: start}
 		now := start
 		for i := 0; i < 60; i++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			f := Facts{
-				Target: rapid.IntRange(0, 12).Draw(t, "target"), Others: rapid.IntRange(0, 12).Draw(t, "others"), Running: rapid.IntRange(0, 2).Draw(t, "running"),
-				Answers: int64(rapid.IntRange(0, 100).Draw(t, "answers")), Stopped: rapid.IntRange(0, 30).Draw(t, "stopped") == 0,
+				Target: rapid.IntRange(0, 12).Draw(t, "target"), OtherVersions: rapid.IntRange(0, 12).Draw(t, "others"), Running: rapid.IntRange(0, 2).Draw(t, "running"),
+				Responses: int64(rapid.IntRange(0, 100).Draw(t, "answers")), Stopped: rapid.IntRange(0, 30).Draw(t, "stopped") == 0,
 				Suspicion: rapid.Float64Range(0, 0.9).Draw(t, "suspicion"), Clear: rapid.Bool().Draw(t, "clear"),
 			}
 			next, _ := s.Next(now, f)
@@ -106,7 +106,7 @@
 				t.Fatalf("%v after the time", next)
 			}
 			if next != s.Stage {
-				s.Stage, s.Since, s.Answers = next, now, f.Answers
+				s.Stage, s.Since, s.Responses = next, now, f.Responses
 			}
 		}
 	})
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -109,37 +109,37 @@
 }
 
 // Sign is a sign of life of the duties' holder. A later term counts over an earlier one.
-type Sign struct {
+type KeepAlive struct {
 	Term int64 // the holder's fencing token
-	Beat int64 // rises within a term
+	Sequence int64 // rises within a term
 }
 
 // newer tells whether s was given after o.
-func (s Sign) newer(o Sign) bool {
-	return s.Term > o.Term || s.Term == o.Term && s.Beat > o.Beat
+func (s KeepAlive) newer(o KeepAlive) bool {
+	return s.Term > o.Term || s.Term == o.Term && s.Sequence > o.Sequence
 }
 
 // Word is what is known of a roll-out at one place: by a node, or by several together.
-type Word struct {
+type Update struct {
 	Service string
 	Target  string
 	Order   int64 // revision of the order
 	Stage   Stage
-	Sign    Sign
+	KeepAlive    KeepAlive
 	Stopped bool // somebody has seen enough of the target
 	Tally   Tally
 }
 
 // Merge adds to a list of words, which only this function has made, what another list tells,
 // and returns it. A newer order of a service takes an older one's place.
-func Merge(list []Word, more []Word) []Word {
+func Merge(list []Update, more []Update) []Update {
 	for _, w := range more {
 		list = merge(list, w)
 	}
 	return list
 }
 
-func merge(list []Word, w Word) []Word {
+func merge(list []Update, w Update) []Update {
 	for i := range list {
 		v := &list[i]
 		if v.Service != w.Service {
@@ -153,8 +153,8 @@
 			v.Stage = max(v.Stage, w.Stage)
 			v.Stopped = v.Stopped || w.Stopped
 			v.Tally.add(w.Tally)
-			if w.Sign.newer(v.Sign) {
-				v.Sign = w.Sign
+			if w.KeepAlive.newer(v.KeepAlive) {
+				v.KeepAlive = w.KeepAlive
 			}
 		}
 		return list
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -74,14 +74,14 @@
 
 // Cell is the answers of one route at one group of upstreams.
 type Cell struct {
-	Answers int64     // that have begun, or failed before
+	Responses int64     // that have begun, or failed before
 	Failed  int64     // of these: failures, and answers that broke off, maybe later
 	First   Histogram // times to the first event, or to the head
 	Pace    Histogram // pauses between the first events of a stream
 }
 
 func (c *Cell) plus(o *Cell) {
-	c.Answers += o.Answers
+	c.Responses += o.Responses
 	c.Failed += o.Failed
 	c.First.plus(&o.First)
 	c.Pace.plus(&o.Pace)
@@ -150,10 +150,10 @@
 }
 
 // Answers returns how many answers of the target there are, and how many of them failed.
-func (t Tally) Answers() (all, failed int64) {
+func (t Tally) Responses() (all, failed int64) {
 	for _, r := range t {
 		c := r.target()
-		all += c.Answers
+		all += c.Responses
 		failed += c.Failed
 	}
 	return all, failed
--- a/internal/rollout/tally_test.go
+++ b/internal/rollout/tally_test.go
@@ -22,7 +22,7 @@
 // the tally that was built from the words differed from the one meant. Two draws of the test of
 // messages showed it.
 func TestTallySet(t *testing.T) {
-	some := Cell{Answers: 3, Failed: 1}
+	some := Cell{Responses: 3, Failed: 1}
 	t.Run("a cell that has nothing makes no row", func(t *testing.T) {
 		v := make(Tally)
 		v.Set("r", 0, Cell{})
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -27,10 +27,10 @@
 
 // Answer is what is new of an answer of an upstream. One that begins and breaks off later is
 // noted twice.
-type Answer struct {
-	Begun  bool    // its first event or head has come
+type Response struct {
+	Started  bool    // its first event or head has come
 	Failed bool    // it failed
-	Later  bool    // after it had begun
+	AfterStart  bool    // after it had begun
 	First  float64 // time to the first event or the head, as a part of what was expected; 0: not known
 	Pace   float64 // pause between the first events, in milliseconds; 0: not known
 }
@@ -42,7 +42,7 @@
 	seed    func(route string) float64
 	stage   Stage
 	since   time.Time // when this node learned of the stage
-	sign    Sign
+	sign    KeepAlive
 	signed  time.Time // when the newest sign came; zero: none has
 	stopped bool
 	verdict Verdict
@@ -90,21 +90,21 @@
 func (t *Trial) Total() Tally { return t.own.Plus(t.others) }
 
 // Word is what this node tells: what it has seen itself, and what is known to all.
-func (t *Trial) Word() Word {
-	return Word{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, Sign: t.sign, Stopped: t.stopped, Tally: t.own}
+func (t *Trial) Update() Update {
+	return Update{Service: t.order.Service, Target: t.order.Target, Order: t.order.Revision, Stage: t.stage, KeepAlive: t.sign, Stopped: t.stopped, Tally: t.own}
 }
 
 // SignNow gives a sign of life, as the holder of the duties.
-func (t *Trial) SignNow(now time.Time, term int64) {
-	s := Sign{Term: term, Beat: 1}
+func (t *Trial) IssueKeepAlive(now time.Time, term int64) {
+	s := KeepAlive{Term: term, Sequence: 1}
 	if t.sign.Term == term {
-		s.Beat = t.sign.Beat + 1
+		s.Sequence = t.sign.Sequence + 1
 	}
 	t.take(now, s)
 }
 
 // Raise takes in a stage that stands in the store.
-func (t *Trial) Raise(now time.Time, s Stage) {
+func (t *Trial) AdvanceTo(now time.Time, s Stage) {
 	if s > t.stage {
 		t.stage, t.since = s, now
 	}
@@ -112,18 +112,18 @@
 
 // Hear takes in what is known of this order elsewhere, and tells whether the node stops by it.
 // What the word tells of answers is that of all other nodes that it covers.
-func (t *Trial) Hear(now time.Time, w Word) {
+func (t *Trial) ApplyUpdate(now time.Time, w Update) {
 	if w.Order != t.order.Revision {
 		return
 	}
-	t.Raise(now, w.Stage)
+	t.AdvanceTo(now, w.Stage)
 	t.stopped = t.stopped || w.Stopped
-	t.take(now, w.Sign)
+	t.take(now, w.KeepAlive)
 }
 
 // Others sets what all other nodes have seen, and judges anew. It tells whether this made the
 // node stop.
-func (t *Trial) Others(sum Tally) bool {
+func (t *Trial) SetPeerTally(sum Tally) bool {
 	t.others = sum
 	return t.judgeNow()
 }
@@ -137,22 +137,22 @@
 	return true
 }
 
-func (t *Trial) take(now time.Time, s Sign) {
+func (t *Trial) take(now time.Time, s KeepAlive) {
 	if s.newer(t.sign) {
 		t.sign, t.signed = s, now
 	}
 }
 
 // Signed tells whether the holder of the duties was heard of lately.
-func (t *Trial) Signed(now time.Time) bool {
+func (t *Trial) HasKeepAlive(now time.Time) bool {
 	return !t.signed.IsZero() && now.Sub(t.signed) <= signKeeps
 }
 
 // Offer counts a request that comes to the service, and tells whether it goes to the target
 // on trial.
-func (t *Trial) Offer(now time.Time, route string) bool {
+func (t *Trial) TakeCredit(now time.Time, route string) bool {
 	s := t.stage.share(t.share)
-	if s == 0 || t.stopped || !t.Signed(now) {
+	if s == 0 || t.stopped || !t.HasKeepAlive(now) {
 		return false
 	}
 	c, ok := t.credits[route]
@@ -169,7 +169,7 @@
 }
 
 // Return gives back what was offered and not sent.
-func (t *Trial) Return(route string) { t.credits[route] = min(t.credits[route]+1, 1) }
+func (t *Trial) ReturnCredit(route string) { t.credits[route] = min(t.credits[route]+1, 1) }
 
 // Side is which upstreams of a service take what isn't offered to the target.
 type Side int
@@ -185,7 +185,7 @@
 	switch {
 	case t.stage == StageCompleted:
 		return SideTarget
-	case t.stage == StageFull && !t.stopped && t.Signed(now):
+	case t.stage == StageFull && !t.stopped && t.HasKeepAlive(now):
 		return SideTarget
 	}
 	return SideInService
@@ -193,20 +193,20 @@
 
 // Trials is how many upstreams of the target take requests on trial, where so many of the
 // version in service do: each is as full as one of these.
-func (t *Trial) Trials(inService int) int {
+func (t *Trial) TrialUpstreams(inService int) int {
 	return max(1, int(t.stage.share(t.share)*float64(inService)+0.5))
 }
 
 // Note takes in an answer: of the target's upstream of that rank, or, with rank -1, of the
 // version in service. It tells whether this made the node stop.
-func (t *Trial) Note(route string, rank int, a Answer) bool {
+func (t *Trial) Observe(route string, rank int, a Response) bool {
 	g := groupInService
 	if rank >= 0 {
 		g = groupOf(rank)
 	}
 	c := &t.own.row(route)[g]
-	if a.Begun || a.Failed && !a.Later {
-		c.Answers++
+	if a.Started || a.Failed && !a.AfterStart {
+		c.Responses++
 	}
 	if a.Failed {
 		c.Failed++
