--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -19,8 +19,8 @@
 // onTrial is a node's side of an order whose first stage has begun.
 func onTrial(credit float64) *Trial {
 	t := NewTrial(order, 0.1, func(string) float64 { return credit })
-	t.Raise(start, StageTrial)
-	t.SignNow(start, 10)
+	t.AdvanceTo(start, StageTrial)
+	t.IssueKeepAlive(start, 10)
 	return t
 }
 
@@ -28,7 +28,7 @@
 func offered(t *Trial, n int) int {
 	k := 0
 	for i := 0; i < n; i++ {
-		if t.Offer(start, "r") {
+		if t.TakeCredit(start, "r") {
 			k++
 		}
 	}
@@ -39,28 +39,28 @@
 	t.Run("the stage's share", func(t *testing.T) {
 		assert.Equal(t, 70, offered(onTrial(0.5), 1000))
 		v := onTrial(0.5)
-		v.Raise(start, StageFifth)
+		v.AdvanceTo(start, StageFifth)
 		assert.Equal(t, 200, offered(v, 1000))
 	})
 	t.Run("each route its own", func(t *testing.T) {
 		v := onTrial(0)
 		for i := 0; i < 14; i++ {
-			assert.False(t, v.Offer(start, "r"))
+			assert.False(t, v.TakeCredit(start, "r"))
 		}
-		assert.True(t, v.Offer(start, "r"))
-		assert.False(t, v.Offer(start, "other"))
+		assert.True(t, v.TakeCredit(start, "r"))
+		assert.False(t, v.TakeCredit(start, "other"))
 	})
 	t.Run("what was given back is offered again, once", func(t *testing.T) {
 		v := onTrial(0.95)
-		assert.True(t, v.Offer(start, "r"))
-		v.Return("r")
-		assert.True(t, v.Offer(start, "r"))
-		assert.False(t, v.Offer(start, "r"))
+		assert.True(t, v.TakeCredit(start, "r"))
+		v.ReturnCredit("r")
+		assert.True(t, v.TakeCredit(start, "r"))
+		assert.False(t, v.TakeCredit(start, "r"))
 	})
 	for name, change := range map[string]func(v *Trial){
 		"before the first stage":        func(v *Trial) { *v = *NewTrial(order, 0.1, func(string) float64 { return 0.99 }) },
-		"after the end":                 func(v *Trial) { v.Raise(start, StageRolledBack) },
-		"where somebody stopped":        func(v *Trial) { v.Hear(start, Word{Order: 5, Stopped: true}) },
+		"after the end":                 func(v *Trial) { v.AdvanceTo(start, StageRolledBack) },
+		"where somebody stopped":        func(v *Trial) { v.ApplyUpdate(start, Update{Order: 5, Stopped: true}) },
 		"without a sign of the holder":  func(v *Trial) { v.signed = at(-signKeeps - time.Millisecond) },
 		"where no sign has come at all": func(v *Trial) { v.signed = time.Time{} },
 	} {
@@ -73,7 +73,7 @@
 	}
 	t.Run("another order's word says nothing", func(t *testing.T) {
 		v := onTrial(0.5)
-		v.Hear(start, Word{Order: 4, Stopped: true, Stage: StageRolledBack})
+		v.ApplyUpdate(start, Update{Order: 4, Stopped: true, Stage: StageRolledBack})
 		assert.Equal(t, StageTrial, v.Stage())
 		assert.False(t, v.Stopped())
 	})
@@ -81,19 +81,19 @@
 
 func TestSide(t *testing.T) {
 	v := onTrial(0.5)
-	v.Raise(start, StageFull)
+	v.AdvanceTo(start, StageFull)
 	assert.Equal(t, SideTarget, v.Side(start))
 	assert.Equal(t, SideInService, v.Side(at(signKeeps+time.Millisecond)), "a node that hears of no holder goes back")
-	v.Raise(start, StageCompleted)
+	v.AdvanceTo(start, StageCompleted)
 	assert.Equal(t, SideTarget, v.Side(at(time.Hour)), "the version before is gone")
 }
 
 func TestSignsOfALaterTermCount(t *testing.T) {
 	v := onTrial(0.5)
-	v.Hear(at(time.Minute), Word{Order: 5, Sign: Sign{Term: 9, Beat: 1000}})
-	assert.False(t, v.Signed(at(time.Minute)), "a deposed holder's")
-	v.Hear(at(time.Minute), Word{Order: 5, Sign: Sign{Term: 11, Beat: 1}})
-	assert.True(t, v.Signed(at(time.Minute)))
+	v.ApplyUpdate(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 9, Sequence: 1000}})
+	assert.False(t, v.HasKeepAlive(at(time.Minute)), "a deposed holder's")
+	v.ApplyUpdate(at(time.Minute), Update{Order: 5, KeepAlive: KeepAlive{Term: 11, Sequence: 1}})
+	assert.True(t, v.HasKeepAlive(at(time.Minute)))
 }
 
 // TestExposure draws nodes that are killed and start anew, requests at whichever of them, and
@@ -105,8 +105,8 @@
 		random := rapid.Float64Range(0, 1)
 		fresh := func() *Trial {
 			v := NewTrial(order, 0.1, func(string) float64 { return random.Draw(t, "credit") })
-			v.Raise(start, StageTrial)
-			v.SignNow(start, 1)
+			v.AdvanceTo(start, StageTrial)
+			v.IssueKeepAlive(start, 1)
 			return v
 		}
 		fleet := make([]*Trial, nodes)
@@ -120,7 +120,7 @@
 				fleet[k] = fresh()
 			}
 			reached++
-			if fleet[k].Offer(start, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "route"))) {
+			if fleet[k].TakeCredit(start, fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "route"))) {
 				sent++
 			}
 			// A credit that is drawn may let one request a node, route and process go early.
@@ -154,19 +154,19 @@
 func TestMerge(t *testing.T) {
 	tally := func(n int64) Tally {
 		v := make(Tally)
-		v.Set("r", 1, Cell{Answers: n})
+		v.Set("r", 1, Cell{Responses: n})
 		return v
 	}
 	own := tally(1)
-	list := Merge(nil, []Word{{Service: "s", Order: 5, Stage: StageTrial, Tally: own}})
-	list = Merge(list, []Word{{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, Sign: Sign{1, 2}, Tally: tally(2)}, {Service: "x", Order: 1}})
-	list = Merge(list, []Word{{Service: "s", Order: 4, Stage: StageRolledBack, Tally: tally(9)}})
+	list := Merge(nil, []Update{{Service: "s", Order: 5, Stage: StageTrial, Tally: own}})
+	list = Merge(list, []Update{{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: tally(2)}, {Service: "x", Order: 1}})
+	list = Merge(list, []Update{{Service: "s", Order: 4, Stage: StageRolledBack, Tally: tally(9)}})
 	assert.Len(t, list, 2)
-	answers, _ := list[0].Tally.Answers()
+	answers, _ := list[0].Tally.Responses()
 	assert.Equal(t, int64(3), answers)
-	assert.Equal(t, Word{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, Sign: Sign{1, 2}, Tally: list[0].Tally}, list[0])
-	answers, _ = own.Answers()
+	assert.Equal(t, Update{Service: "s", Order: 5, Stage: StageFifth, Stopped: true, KeepAlive: KeepAlive{1, 2}, Tally: list[0].Tally}, list[0])
+	answers, _ = own.Responses()
 	assert.Equal(t, int64(1), answers, "what was merged is left as it was")
-	list = Merge(list, []Word{{Service: "s", Order: 6, Tally: tally(4)}})
+	list = Merge(list, []Update{{Service: "s", Order: 6, Tally: tally(4)}})
 	assert.Equal(t, StageWaiting, list[0].Stage, "a newer order takes the place")
 }
--- a/internal/route/baseline.go
+++ b/internal/route/baseline.go
@@ -9,8 +9,8 @@
 
 func (r *Router) roundRobin(list []Candidate) Choice {
 	for n := 0; n < len(list); n++ {
-		r.turn++
-		i := r.turn % len(list)
+		r.offset++
+		i := r.offset % len(list)
 		if !list[i].Excluded {
 			return Choice{Index: i, Reason: ReasonBaseline}
 		}
@@ -20,10 +20,10 @@
 
 func inFlight(c *Candidate) int32 { return max(c.Load+c.SinceReport, c.InFlight) }
 
-func (r *Router) least(list []Candidate) Choice {
+func (r *Router) leastInFlight(list []Candidate) Choice {
 	best := Choice{Index: -1, Reason: ReasonNone}
 	for n := range list {
-		i := (n + r.turn) % len(list)
+		i := (n + r.offset) % len(list)
 		if list[i].Excluded {
 			continue
 		}
@@ -31,17 +31,17 @@
 			best.Index, best.Reason = i, ReasonBaseline
 		}
 	}
-	r.turn++
+	r.offset++
 	return best
 }
 
 // next is a small pseudo-random generator (xorshift), so that choices depend on
 // nothing outside.
 func (r *Router) next(n int) int {
-	r.random ^= r.random << 13
-	r.random ^= r.random >> 7
-	r.random ^= r.random << 17
-	return int(r.random>>1) % n
+	r.state ^= r.state << 13
+	r.state ^= r.state >> 7
+	r.state ^= r.state << 17
+	return int(r.state>>1) % n
 }
 
 func (r *Router) twoChoices(list []Candidate) Choice {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -89,8 +89,8 @@
 type Prompt struct {
 	Shared       uint64 // prefix that many callers share
 	SharedTokens int
-	Own          uint64 // prefix that stays the same through the conversation
-	Reusable     int    // tokens that an upstream which had the last turn would have cached
+	Conversation          uint64 // prefix that stays the same through the conversation
+	ReusableTokens     int    // tokens that an upstream which had the last turn would have cached
 	Tokens       int
 	MaxTokens    int
 	Batch        bool // may wait, so money counts in full
@@ -99,9 +99,9 @@
 // Options sets a router. Rates are the pool's, as an estimate.
 type Options struct {
 	Policy      Policy
-	Prefill     time.Duration // per token not cached
-	Service     time.Duration // of one request in a slot, on average
-	Spread      int           // fixed size of the set that holds a shared prefix; 0: by its share of the work
+	PrefillPerToken     time.Duration // per token not cached
+	ServiceTime     time.Duration // of one request in a slot, on average
+	SetSize      int           // fixed size of the set that holds a shared prefix; 0: by its share of the work
 	CostWeight  float64       // milliseconds of delay that one unit of money is worth
 	TokenWeight float64       // milliseconds of delay that one recomputed token is worth, beside its prefill
 }
@@ -127,8 +127,8 @@
 // Router chooses for one pool. It isn't safe for concurrent use.
 type Router struct {
 	o       Options
-	turn    int
-	random  uint64
+	offset    int
+	state  uint64
 	inSet   []bool             // by index, of the last Pick
 	weights []uint64           // scratch
 	work    map[uint64]float64 // recent work by shared prefix
@@ -146,24 +146,24 @@
 	if o.Policy == "" {
 		o.Policy = PolicyAffinity
 	}
-	if o.Prefill == 0 {
-		o.Prefill = defaultPrefill
+	if o.PrefillPerToken == 0 {
+		o.PrefillPerToken = defaultPrefill
 	}
-	if o.Service == 0 {
-		o.Service = defaultService
+	if o.ServiceTime == 0 {
+		o.ServiceTime = defaultService
 	}
-	return &Router{o: o, work: make(map[uint64]float64), random: 0x9e3779b97f4a7c15}
+	return &Router{o: o, work: make(map[uint64]float64), state: 0x9e3779b97f4a7c15}
 }
 
 // Weigh sets the weights of the workspace that the next choices are for.
-func (r *Router) Weigh(cost, token float64) { r.o.CostWeight, r.o.TokenWeight = cost, token }
+func (r *Router) SetWeights(cost, token float64) { r.o.CostWeight, r.o.TokenWeight = cost, token }
 
 // serviceGain weighs a new measurement of the service time.
 const serviceGain = 0.02
 
 // Learn takes in how long a request held its slot.
-func (r *Router) Learn(d time.Duration) {
-	r.o.Service += time.Duration(serviceGain * float64(d-r.o.Service))
+func (r *Router) ObserveService(d time.Duration) {
+	r.o.ServiceTime += time.Duration(serviceGain * float64(d-r.o.ServiceTime))
 }
 
 // Pick chooses among the candidates.
@@ -172,7 +172,7 @@
 	case PolicyRoundRobin:
 		return r.roundRobin(list)
 	case PolicyLeast:
-		return r.least(list)
+		return r.leastInFlight(list)
 	case PolicyTwoChoices:
 		return r.twoChoices(list)
 	}
@@ -190,7 +190,7 @@
 }
 
 func (r *Router) affinity(p *Prompt, list []Candidate) Choice {
-	home := r.homes(p, list)
+	home := r.chooseHome(p, list)
 	best := Choice{Index: -1, Cost: math.Inf(1)}
 	cheapest := r.cheapest(list)
 	for i := range list {
@@ -201,7 +201,7 @@
 		cached := r.cached(p, i, home)
 		cost := r.cost(p, c, cached, cheapest)
 		if i == home {
-			cost -= homeBonus + homeShare*float64(p.Tokens)*ms(r.o.Prefill)
+			cost -= homeBonus + homePrefillShare*float64(p.Tokens)*ms(r.o.PrefillPerToken)
 		}
 		if cost < best.Cost {
 			best.Index, best.Cost = i, cost
@@ -223,54 +223,54 @@
 // settles ties.
 const (
 	homeBonus = 1.0
-	homeShare = 0.5
+	homePrefillShare = 0.5
 )
 
 // atNext is the share of what a conversation could reuse that is expected at an
 // upstream of its set that isn't home. All of it is expected at home: taking off
 // for the turns that went elsewhere was measured and lost.
-const atNext = 0.1
+const setReuseShare = 0.1
 
 // cached is the number of tokens that a candidate has cached, as far as can be
 // guessed.
 func (r *Router) cached(p *Prompt, i, home int) float64 {
 	n := 0.0
 	if p.Shared != 0 && r.inSet[i] {
-		n = float64(p.SharedTokens) + atNext*float64(p.Reusable-p.SharedTokens)
+		n = float64(p.SharedTokens) + setReuseShare*float64(p.ReusableTokens-p.SharedTokens)
 	}
 	if i == home {
-		n = math.Max(n, float64(p.Reusable))
+		n = math.Max(n, float64(p.ReusableTokens))
 	}
 	return n
 }
 
 const (
 	// headroom makes a set larger than its share of the work needs on average.
-	headroom = 8
-	leastSet = 1
+	setHeadroom = 8
+	minSetSize = 1
 	// workLimit ages the work counted: when so many tokens have been counted, all
 	// counts are halved.
-	workLimit = 2e6
+	maxCountedWork = 2e6
 )
 
 // setSize is the number of upstreams that hold a shared prefix.
 func (r *Router) setSize(p *Prompt, n int) int {
-	if r.o.Spread > 0 {
-		return r.o.Spread
+	if r.o.SetSize > 0 {
+		return r.o.SetSize
 	}
-	w := float64(p.Tokens-p.Reusable) + answerWeight*float64(p.MaxTokens)
+	w := float64(p.Tokens-p.ReusableTokens) + outputWeight*float64(p.MaxTokens)
 	r.work[p.Shared] += w
 	r.total += w
-	if r.total > workLimit {
+	if r.total > maxCountedWork {
 		r.age()
 	}
 	share := r.work[p.Shared] / r.total
-	return min(n, max(leastSet, int(math.Ceil(share*headroom*float64(n)))))
+	return min(n, max(minSetSize, int(math.Ceil(share*setHeadroom*float64(n)))))
 }
 
 // answerWeight is what a token of the answer takes of an upstream, in tokens of
 // prefill.
-const answerWeight = 20
+const outputWeight = 20
 
 func (r *Router) age() {
 	r.total = 0
@@ -286,15 +286,15 @@
 
 // homes ranks the candidates for the shared prefix, keeps the first Spread as the
 // set (left in r.inSet), and picks the conversation's home out of it.
-func (r *Router) homes(p *Prompt, list []Candidate) int {
+func (r *Router) chooseHome(p *Prompt, list []Candidate) int {
 	home := -1
 	r.inSet = append(r.inSet[:0], make([]bool, len(list))...)
-	if p.Shared == 0 && p.Own == 0 {
+	if p.Shared == 0 && p.Conversation == 0 {
 		return home
 	}
 	key, n := p.Shared, r.setSize(p, len(list))
 	if key == 0 {
-		key, n = p.Own, 1
+		key, n = p.Conversation, 1
 	}
 	least := r.threshold(key, n, list)
 	var top uint64
@@ -303,7 +303,7 @@
 			continue
 		}
 		r.inSet[i] = true
-		if w := weight(p.Own, list[i].Hash); home < 0 || w > top {
+		if w := weight(p.Conversation, list[i].Hash); home < 0 || w > top {
 			home, top = i, w
 		}
 	}
@@ -340,7 +340,7 @@
 
 // liveMoney is how much of its cost weight a workspace applies to live requests:
 // in full, they would queue for the cheap upstreams beyond their latency target.
-const liveMoney = 0.1
+const liveCostShare = 0.1
 
 const (
 	msPerHour = 3600 * 1000
@@ -351,19 +351,19 @@
 
 func (r *Router) cost(p *Prompt, c *Candidate, cached, cheapest float64) float64 {
 	missing := float64(p.Tokens) - cached
-	prefill := missing * ms(r.o.Prefill)
+	prefill := missing * ms(r.o.PrefillPerToken)
 	slow := slowness(c)
-	service := ms(r.o.Service) * slow
+	service := ms(r.o.ServiceTime) * slow
 	prefill *= slow
-	cost := r.wait(c)*slow + prefill + 2*ms(c.Distance) + missing*r.o.TokenWeight + service - ms(r.o.Service)
+	cost := r.wait(c)*slow + prefill + 2*ms(c.Distance) + missing*r.o.TokenWeight + service - ms(r.o.ServiceTime)
 	// A reclaim during this request loses the prompt and half the answer.
 	risk := c.ReclaimRate * service / msPerHour
 	lost := float64(p.Tokens) + float64(p.MaxTokens)/2
-	cost += risk * lost * (ms(r.o.Prefill) + r.o.TokenWeight)
+	cost += risk * lost * (ms(r.o.PrefillPerToken) + r.o.TokenWeight)
 	hours := (prefill + service) / msPerHour / float64(max(c.Slots, 1))
 	money := r.o.CostWeight * hours * (c.Price - cheapest)
 	if !p.Batch {
-		money *= liveMoney
+		money *= liveCostShare
 	}
 	return cost + money
 }
@@ -380,37 +380,37 @@
 // fades towards what this node sees itself.
 func (r *Router) wait(c *Candidate) float64 {
 	known := float64(c.Load) + float64(c.SinceReport)
-	fade := loadHalf / (loadHalf + c.LoadAge.Seconds())
+	fade := loadHalfAge / (loadHalfAge + c.LoadAge.Seconds())
 	load := known*fade + math.Max(float64(c.InFlight), known/2)*(1-fade)
 	load = math.Max(load, float64(c.InFlight))
 	slots := float64(max(c.Slots, 1))
-	service := ms(r.o.Service)
+	service := ms(r.o.ServiceTime)
 	return service/slots*shortfall(load-slots+1) + busyWeight*service*load/slots
 }
 
 // sigma is how far a load may be from the truth, in requests. Letting it grow with
 // the age of the report was measured and lost: all upstreams then look alike, and
 // conversations leave their homes for nothing.
-const sigma = 0.5
+const loadError = 0.5
 
 // farTail is where the normal error no longer matters.
-const farTail = 5
+const tailCutoff = 5
 
 // shortfall is the expected queue when the load is over the slots by x on average,
 // with a normal error of sigma: E[max(0, x+e)].
 func shortfall(x float64) float64 {
-	z := x / sigma
-	if z < -farTail {
+	z := x / loadError
+	if z < -tailCutoff {
 		return 0
 	}
-	if z > farTail {
+	if z > tailCutoff {
 		return x
 	}
 	density := math.Exp(-z*z/2) / math.Sqrt(2*math.Pi)
-	return sigma*density + x*0.5*math.Erfc(-z/math.Sqrt2)
+	return loadError*density + x*0.5*math.Erfc(-z/math.Sqrt2)
 }
 
 // loadHalf is the age, in seconds, at which a load report counts half.
-const loadHalf = 10.0
+const loadHalfAge = 10.0
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -19,8 +19,8 @@
 
 func drawPrompt(t *rapid.T) *Prompt {
 	return &Prompt{
-		Shared: rapid.Uint64Range(0, 5).Draw(t, "shared"), SharedTokens: 200, Own: rapid.Uint64Min(1).Draw(t, "own"),
-		Reusable: 500, Tokens: 600, MaxTokens: 100,
+		Shared: rapid.Uint64Range(0, 5).Draw(t, "shared"), SharedTokens: 200, Conversation: rapid.Uint64Min(1).Draw(t, "own"),
+		ReusableTokens: 500, Tokens: 600, MaxTokens: 100,
 	}
 }
 
@@ -28,7 +28,7 @@
 // set it was in. The set's size is fixed, as it is while shares of work don't change.
 func TestOnlyItsOwnConversationsMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New(Options{Spread: 3})
+		r := New(Options{SetSize: 3})
 		list := idle(8)
 		p := drawPrompt(t)
 		before := r.Pick(p, list).Index
@@ -46,7 +46,7 @@
 func TestNodesAgreeWithoutAWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPrompt(t)
-		a, b := New(Options{Spread: 3}), New(Options{Spread: 3})
+		a, b := New(Options{SetSize: 3}), New(Options{SetSize: 3})
 		list := idle(8)
 		other := append(append([]Candidate(nil), list[4:]...), list[:4]...) // listed in another order
 		assert.Equal(t, list[a.Pick(p, list).Index].ID, other[b.Pick(p, other).Index].ID)
@@ -77,9 +77,9 @@
 }
 
 func TestLoadedHomeSpills(t *testing.T) {
-	r := New(Options{Spread: 3})
+	r := New(Options{SetSize: 3})
 	list := idle(8)
-	p := &Prompt{Own: 7, Reusable: 500, Tokens: 600, MaxTokens: 100}
+	p := &Prompt{Conversation: 7, ReusableTokens: 500, Tokens: 600, MaxTokens: 100}
 	home := r.Pick(p, list)
 	assert.Equal(t, ReasonHome, home.Reason)
 	list[home.Index].Load = 40
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,21 +23,21 @@
 	VM           string
 	Hall         string
 	Zone         string
-	Callers      string
-	Peers        string
-	Admin        string
+	CallerListen      string
+	PeerListen        string
+	AdminListen        string
 	Seeds        []string
-	Platform     string
+	PlatformURL     string
 	PlatformRate float64
-	Policy       string
-	CrossHall    time.Duration
-	Exchange     time.Duration
-	Drain        time.Duration
+	RoutePolicy       string
+	CrossHallLatency    time.Duration
+	ExchangeInterval     time.Duration
+	DrainTimeout        time.Duration
 	LogLevel     string
-	AdminTokens  []string // hashes
-	Cert         string
-	Key          string
-	CA           string
+	AdminTokenHashes  []string // hashes
+	CertFile         string
+	KeyFile          string
+	CAFile           string
 	Insecure     bool
 	Autoscale    bool
 }
@@ -53,7 +53,7 @@
 			bad(v.flag, "%q: use a name without spaces, dots, slashes and colons", v.value)
 		}
 	}
-	for _, v := range []struct{ flag, value string }{{"listen", s.Callers}, {"peer-listen", s.Peers}, {"admin-listen", s.Admin}} {
+	for _, v := range []struct{ flag, value string }{{"listen", s.CallerListen}, {"peer-listen", s.PeerListen}, {"admin-listen", s.AdminListen}} {
 		if err := checkAddress(v.value); err != nil {
 			bad(v.flag, "%v", err)
 		}
@@ -63,24 +63,24 @@
 			bad("seed", "%v", err)
 		}
 	}
-	if !strings.HasPrefix(s.Platform, "http://") && !strings.HasPrefix(s.Platform, "https://") {
-		bad("platform", "%q: use an address such as http://10.0.0.5:2379", s.Platform)
+	if !strings.HasPrefix(s.PlatformURL, "http://") && !strings.HasPrefix(s.PlatformURL, "https://") {
+		bad("platform", "%q: use an address such as http://10.0.0.5:2379", s.PlatformURL)
 	}
 	if s.PlatformRate < 1 {
 		bad("platform-rate", "%v: use the calls a second that the platform takes from all nodes, 1 or more", s.PlatformRate)
 	}
-	if !route.Policy(s.Policy).Valid() {
-		bad("route-policy", "%q: use affinity, round-robin, least-in-flight or two-choices", s.Policy)
+	if !route.Policy(s.RoutePolicy).Valid() {
+		bad("route-policy", "%q: use affinity, round-robin, least-in-flight or two-choices", s.RoutePolicy)
 	}
-	if s.Exchange < 50*time.Millisecond || s.Exchange > 10*time.Second {
-		bad("exchange", "%v: use 50ms to 10s", s.Exchange)
+	if s.ExchangeInterval < 50*time.Millisecond || s.ExchangeInterval > 10*time.Second {
+		bad("exchange", "%v: use 50ms to 10s", s.ExchangeInterval)
 	}
-	for _, h := range s.AdminTokens {
+	for _, h := range s.AdminTokenHashes {
 		if len(h) != 64 {
 			bad("admin-token-hash", "%q: use a SHA-256 in hex, 64 digits", h)
 		}
 	}
-	if (s.Cert == "") != (s.Key == "") || s.CA != "" && s.Cert == "" {
+	if (s.CertFile == "") != (s.KeyFile == "") || s.CAFile != "" && s.CertFile == "" {
 		bad("tls-cert", "--tls-cert and --tls-key go together, and --tls-ca needs both")
 	}
 	s.checkExposure(bad)
@@ -93,12 +93,12 @@
 	if s.Insecure {
 		return
 	}
-	for _, v := range []struct{ flag, value string }{{"listen", s.Callers}, {"peer-listen", s.Peers}, {"admin-listen", s.Admin}} {
+	for _, v := range []struct{ flag, value string }{{"listen", s.CallerListen}, {"peer-listen", s.PeerListen}, {"admin-listen", s.AdminListen}} {
 		a, err := netip.ParseAddrPort(v.value)
 		if err != nil || a.Addr().IsLoopback() {
 			continue
 		}
-		if s.Cert == "" || s.CA == "" || len(s.AdminTokens) == 0 {
+		if s.CertFile == "" || s.CAFile == "" || len(s.AdminTokenHashes) == 0 {
 			bad(v.flag, "%s is not loopback: set --tls-cert, --tls-key, --tls-ca and --admin-token-hash, or say --insecure", v.value)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // Server returns the configuration of a listener; mutual asks the other side for a
 // certificate of the authority.
-func (c *Certificates) Server(ca *x509.CertPool, mutual bool) *tls.Config {
+func (c *Certificates) ServerConfig(ca *x509.CertPool, mutual bool) *tls.Config {
 	t := &tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return c.get() },
@@ -168,7 +168,7 @@
 }
 
 // Client returns the configuration for calls to peers.
-func (c *Certificates) Client(ca *x509.CertPool) *tls.Config {
+func (c *Certificates) ClientConfig(ca *x509.CertPool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, RootCAs: ca,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return c.get() },
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,8 +24,8 @@
 
 func good() Settings {
 	return Settings{
-		VM: "n1", Hall: "hall-a", Callers: "127.0.0.1:1", Peers: "127.0.0.1:2", Admin: "127.0.0.1:3",
-		Platform: "http://127.0.0.1:4", PlatformRate: 100, Policy: "affinity", Exchange: time.Second,
+		VM: "n1", Hall: "hall-a", CallerListen: "127.0.0.1:1", PeerListen: "127.0.0.1:2", AdminListen: "127.0.0.1:3",
+		PlatformURL: "http://127.0.0.1:4", PlatformRate: 100, RoutePolicy: "affinity", ExchangeInterval: time.Second,
 	}
 }
 
@@ -37,13 +37,13 @@
 		spoil      func(s *Settings)
 	}{
 		{"name with a dot", "--vm", func(s *Settings) { s.VM = "a.b" }},
-		{"host name", "--peer-listen", func(s *Settings) { s.Peers = "localhost:1" }},
-		{"no scheme", "--platform", func(s *Settings) { s.Platform = "127.0.0.1:4" }},
+		{"host name", "--peer-listen", func(s *Settings) { s.PeerListen = "localhost:1" }},
+		{"no scheme", "--platform", func(s *Settings) { s.PlatformURL = "127.0.0.1:4" }},
 		{"no rate", "--platform-rate", func(s *Settings) { s.PlatformRate = 0 }},
-		{"too quick", "--exchange", func(s *Settings) { s.Exchange = time.Millisecond }},
-		{"token instead of its hash", "--admin-token-hash", func(s *Settings) { s.AdminTokens = []string{"secret"} }},
-		{"certificate without key", "--tls-cert", func(s *Settings) { s.Cert = "x" }},
-		{"open to all without TLS", "--admin-listen", func(s *Settings) { s.Admin = "0.0.0.0:3" }},
+		{"too quick", "--exchange", func(s *Settings) { s.ExchangeInterval = time.Millisecond }},
+		{"token instead of its hash", "--admin-token-hash", func(s *Settings) { s.AdminTokenHashes = []string{"secret"} }},
+		{"certificate without key", "--tls-cert", func(s *Settings) { s.CertFile = "x" }},
+		{"open to all without TLS", "--admin-listen", func(s *Settings) { s.AdminListen = "0.0.0.0:3" }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		})
 	}
 	open := good()
-	open.Admin, open.Insecure = "0.0.0.0:3", true
+	open.AdminListen, open.Insecure = "0.0.0.0:3", true
 	assert.NoError(t, open.Check(), "said to be wanted")
 }
 
@@ -116,7 +116,7 @@
 	clock := timer.NewManual(time.Now())
 	c, err := NewCertificates(cert, key, clock.Service())
 	require.NoError(t, err)
-	l, err := Listen("127.0.0.1:0", c.Server(a.pool, true))
+	l, err := Listen("127.0.0.1:0", c.ServerConfig(a.pool, true))
 	require.NoError(t, err)
 	defer l.Close()
 	go func() {
@@ -129,22 +129,22 @@
 		}
 	}()
 	address := l.Addr().String()
-	n, err := serial(address, c.Client(a.pool))
+	n, err := serial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, n)
 	_, err = serial(address, &tls.Config{RootCAs: a.pool})
 	assert.Error(t, err, "no certificate")
-	_, err = serial(address, c.Client(newAuthority(t).pool))
+	_, err = serial(address, c.ClientConfig(newAuthority(t).pool))
 	assert.Error(t, err, "another authority")
 	a.issue(t, 3, cert, key)
 	require.NoError(t, os.Chtimes(cert, time.Now().Add(time.Minute), time.Now().Add(time.Minute)))
 	clock.Advance(certificateCheck)
-	n, err = serial(address, c.Client(a.pool))
+	n, err = serial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
 	assert.EqualValues(t, 3, n, "read again without a restart")
 	require.NoError(t, os.WriteFile(cert, []byte("half"), 0o600))
 	clock.Advance(certificateCheck)
-	n, err = serial(address, c.Client(a.pool))
+	n, err = serial(address, c.ClientConfig(a.pool))
 	require.NoError(t, err)
 	assert.EqualValues(t, 3, n, "broken files leave the old ones in use")
 }
--- a/internal/store/cloud.go
+++ b/internal/store/cloud.go
@@ -66,7 +66,7 @@
 }
 
 // ErrRefused says that the cloud won't start such a VM now.
-var ErrRefused = errs.NewType("refused").New("the cloud refused to start the VM")
+var ErrRejected = errs.NewType("refused").New("the cloud refused to start the VM")
 
 // Offer is a kind of VM that the cloud may start, with its price and reclaim rate as
 // of now.
@@ -137,7 +137,7 @@
 	}
 	defer s.Body.Close()
 	if s.StatusCode == http.StatusConflict {
-		return ErrRefused
+		return ErrRejected
 	}
 	if s.StatusCode/100 != 2 {
 		return fault.Because(ErrUnavailable, "cloud: status %d", s.StatusCode)
--- a/internal/store/dated.go
+++ b/internal/store/dated.go
@@ -21,53 +21,53 @@
 // A call during which the era rises is treated as one whose answer was lost.
 
 // dated is a store whose era a clock knows.
-type dated struct {
+type eraStore struct {
 	kv    KV
-	clock *era.Clock
+	clock *era.Tracker
 	mu    sync.Mutex
-	eras  map[int64]int64 // by lease that was granted here: its era
+	leaseEras  map[int64]int64 // by lease that was granted here: its era
 }
 
 // Dated returns a store whose revisions have their era in them. The clock hears of each answer of kv
 // before kv returns it.
-func Dated(kv KV, clock *era.Clock) KV {
-	d := &dated{kv: kv, clock: clock, eras: make(map[int64]int64)}
+func WithEra(kv KV, clock *era.Tracker) KV {
+	d := &eraStore{kv: kv, clock: clock, leaseEras: make(map[int64]int64)}
 	r := KV{Range: d.read, Txn: d.txn, Grant: d.grant, KeepAlive: d.keepAlive, Revoke: d.revoke, Watch: d.watch}
-	if kv.Glance != nil {
-		r.Glance = d.glance
+	if kv.StaleRange != nil {
+		r.StaleRange = d.staleRead
 	}
 	return r
 }
 
 // errRose says that the era rose during a call that changes nothing.
-var errRose = fault.Because(ErrUnavailable, "the store came back from a copy meanwhile")
+var errEraRose = fault.Because(ErrUnavailable, "the store came back from a copy meanwhile")
 
-func (d *dated) read(ctx context.Context, key, end string) (RangeResult, error) {
-	return d.dateRead(func() (RangeResult, error) { return d.kv.Range(ctx, key, end) })
+func (d *eraStore) read(ctx context.Context, key, end string) (RangeResult, error) {
+	return d.readWithEra(func() (RangeResult, error) { return d.kv.Range(ctx, key, end) })
 }
 
-func (d *dated) glance(ctx context.Context, prefix string) (RangeResult, error) {
-	return d.dateRead(func() (RangeResult, error) { return d.kv.Glance(ctx, prefix) })
+func (d *eraStore) staleRead(ctx context.Context, prefix string) (RangeResult, error) {
+	return d.readWithEra(func() (RangeResult, error) { return d.kv.StaleRange(ctx, prefix) })
 }
 
-func (d *dated) dateRead(f func() (RangeResult, error)) (RangeResult, error) {
-	now := d.clock.Now()
+func (d *eraStore) readWithEra(f func() (RangeResult, error)) (RangeResult, error) {
+	now := d.clock.Current()
 	r, err := f()
 	if err != nil {
 		return r, err
 	}
 	if now == 0 { // the first answer says the era that it is of
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
-		return RangeResult{}, errRose
+	if d.clock.Current() != now {
+		return RangeResult{}, errEraRose
 	}
-	if err := d.date(now, &r.Revision); err != nil {
+	if err := d.addEra(now, &r.Revision); err != nil {
 		return RangeResult{}, err
 	}
-	d.clock.See(r.Revision)
+	d.clock.ObserveRevision(r.Revision)
 	for i := range r.Pairs {
-		if err := d.date(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
+		if err := d.addEra(now, &r.Pairs[i].Created, &r.Pairs[i].Modified); err != nil {
 			return RangeResult{}, err
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // date turns the store's numbers into revisions.
-func (d *dated) date(now int64, numbers ...*int64) error {
+func (d *eraStore) addEra(now int64, numbers ...*int64) error {
 	for _, n := range numbers {
 		r, err := era.Revision(now, *n)
 		if err != nil {
@@ -86,13 +86,13 @@
 	return nil
 }
 
-func (d *dated) txn(ctx context.Context, t Txn) (TxnResult, error) {
-	now := d.clock.Now()
+func (d *eraStore) txn(ctx context.Context, t Txn) (TxnResult, error) {
+	now := d.clock.Current()
 	raw := t
 	raw.If = make([]Compare, len(t.If))
 	for i, c := range t.If {
 		if c.Target != CompareVersion {
-			n, ok := era.Within(now, c.Number)
+			n, ok := era.NumberIn(now, c.Number)
 			if !ok {
 				return TxnResult{}, nil
 			}
@@ -101,7 +101,7 @@
 		raw.If[i] = c
 	}
 	for _, o := range append(t.Then[:len(t.Then):len(t.Then)], t.Else...) {
-		if o.Lease != 0 && !d.granted(now, o.Lease) {
+		if o.Lease != 0 && !d.leaseInEra(now, o.Lease) {
 			return TxnResult{}, ErrLeaseGone
 		}
 	}
@@ -109,41 +109,41 @@
 	if err != nil {
 		return r, err
 	}
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		return TxnResult{}, fault.Because(ErrUnknown, "the store came back from a copy meanwhile")
 	}
 	if r.Succeeded {
-		err = d.date(now, &r.Revision)
+		err = d.addEra(now, &r.Revision)
 	}
 	return r, err
 }
 
-func (d *dated) grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	now := d.clock.Now()
+func (d *eraStore) grant(ctx context.Context, ttl time.Duration) (int64, error) {
+	now := d.clock.Current()
 	id, err := d.kv.Grant(ctx, ttl)
 	if err != nil {
 		return 0, err
 	}
 	if now == 0 {
-		now = d.clock.Now()
+		now = d.clock.Current()
 	}
-	if d.clock.Now() != now {
-		return 0, errRose // it lapses, if it is there
+	if d.clock.Current() != now {
+		return 0, errEraRose // it lapses, if it is there
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.eras[id] = now
+	d.leaseEras[id] = now
 	return id, nil
 }
 
-func (d *dated) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
-	now := d.clock.Now()
-	if !d.granted(now, id) {
+func (d *eraStore) keepAlive(ctx context.Context, id int64) (time.Duration, error) {
+	now := d.clock.Current()
+	if !d.leaseInEra(now, id) {
 		d.forget(id)
 		return 0, ErrLeaseGone
 	}
 	left, err := d.kv.KeepAlive(ctx, id)
-	if d.clock.Now() != now {
+	if d.clock.Current() != now {
 		err = ErrLeaseGone
 	}
 	if errors.Is(err, ErrLeaseGone) {
@@ -152,8 +152,8 @@
 	return left, err
 }
 
-func (d *dated) revoke(ctx context.Context, id int64) error {
-	here := d.granted(d.clock.Now(), id)
+func (d *eraStore) revoke(ctx context.Context, id int64) error {
+	here := d.leaseInEra(d.clock.Current(), id)
 	d.forget(id)
 	if !here {
 		return nil
@@ -163,36 +163,36 @@
 
 // granted tells whether a lease is of an era. One that wasn't granted here, as that of a process
 // before, was read in the era that is known.
-func (d *dated) granted(now, id int64) bool {
+func (d *eraStore) leaseInEra(now, id int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e, ok := d.eras[id]
+	e, ok := d.leaseEras[id]
 	return !ok || e == now
 }
 
-func (d *dated) forget(id int64) {
+func (d *eraStore) forget(id int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.eras, id)
+	delete(d.leaseEras, id)
 }
 
-func (d *dated) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
-	now := d.clock.Now()
-	n, ok := era.Within(now, s.From)
+func (d *eraStore) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
+	now := d.clock.Current()
+	n, ok := era.NumberIn(now, s.From)
 	if !ok {
 		return ErrCompacted
 	}
 	s.From = n
 	return d.kv.Watch(ctx, s, func(b WatchBatch) error {
-		if d.clock.Now() != now {
+		if d.clock.Current() != now {
 			return ErrCompacted
 		}
-		if err := d.date(now, &b.Revision); err != nil {
+		if err := d.addEra(now, &b.Revision); err != nil {
 			return err
 		}
-		d.clock.See(b.Revision)
+		d.clock.ObserveRevision(b.Revision)
 		for i := range b.Events {
-			if err := d.date(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
+			if err := d.addEra(now, &b.Events[i].Pair.Created, &b.Events[i].Pair.Modified); err != nil {
 				return err
 			}
 		}
--- a/internal/store/dated_test.go
+++ b/internal/store/dated_test.go
@@ -12,50 +12,50 @@
 )
 
 // eras is a store whose answers are of an era, and that counts the calls which reach it.
-type eras struct {
-	clock *era.Clock
+type eraStub struct {
+	clock *era.Tracker
 	now   int64
 	calls int
 	rises bool // the era rises during the next call
 	last  Txn
 }
 
-func (v *eras) answer() {
+func (v *eraStub) respond() {
 	v.calls++
-	_ = v.clock.Hear(v.now) // never falls here
+	_ = v.clock.Observe(v.now) // never falls here
 	if v.rises {
 		v.rises = false
 		v.now++
-		_ = v.clock.Hear(v.now)
+		_ = v.clock.Observe(v.now)
 	}
 }
 
-func newEras(now int64) (*eras, KV) {
-	v := &eras{clock: era.NewClock(), now: now}
+func newEraStub(now int64) (*eraStub, KV) {
+	v := &eraStub{clock: era.NewTracker(), now: now}
 	kv := KV{
 		Range: func(context.Context, string, string) (RangeResult, error) {
-			v.answer()
+			v.respond()
 			return RangeResult{Revision: 9, Pairs: []Pair{{Key: "k", Created: 3, Modified: 7, Lease: 5}}}, nil
 		},
 		Txn: func(_ context.Context, t Txn) (TxnResult, error) {
-			v.answer()
+			v.respond()
 			v.last = t
 			return TxnResult{Succeeded: true, Revision: 10}, nil
 		},
-		Grant:     func(context.Context, time.Duration) (int64, error) { v.answer(); return 5, nil },
-		KeepAlive: func(context.Context, int64) (time.Duration, error) { v.answer(); return time.Second, nil },
-		Revoke:    func(context.Context, int64) error { v.answer(); return nil },
+		Grant:     func(context.Context, time.Duration) (int64, error) { v.respond(); return 5, nil },
+		KeepAlive: func(context.Context, int64) (time.Duration, error) { v.respond(); return time.Second, nil },
+		Revoke:    func(context.Context, int64) error { v.respond(); return nil },
 		Watch: func(_ context.Context, s Span, f func(WatchBatch) error) error {
-			v.answer()
+			v.respond()
 			if err := f(WatchBatch{Revision: s.From, Events: []Event{{Pair: Pair{Key: "k", Modified: s.From}}}}); err != nil {
 				return err
 			}
 			v.rises = true
-			v.answer()
+			v.respond()
 			return f(WatchBatch{Revision: s.From + 1})
 		},
 	}
-	return v, Dated(kv, v.clock)
+	return v, WithEra(kv, v.clock)
 }
 
 func revision(t *testing.T, e, n int64) int64 {
@@ -66,23 +66,23 @@
 }
 
 // TestDated is what reaches a store that may come back from an older copy, and what is told of it.
-func TestDated(t *testing.T) {
+func TestWithEra(t *testing.T) {
 	ctx := context.Background()
 	t.Run("a store without eras is as it was", func(t *testing.T) {
-		_, kv := newEras(0)
+		_, kv := newEraStub(0)
 		r, err := kv.Range(ctx, "k", "")
 		require.NoError(t, err)
 		assert.Equal(t, RangeResult{Revision: 9, Pairs: []Pair{{Key: "k", Created: 3, Modified: 7, Lease: 5}}}, r)
 	})
 	t.Run("revisions bear the era, from the first answer on", func(t *testing.T) {
-		_, kv := newEras(2)
+		_, kv := newEraStub(2)
 		r, err := kv.Range(ctx, "k", "")
 		require.NoError(t, err)
 		assert.Equal(t, revision(t, 2, 9), r.Revision)
 		assert.Equal(t, revision(t, 2, 7), r.Pairs[0].Modified)
 	})
 	t.Run("a condition of this era is sent as the store's number", func(t *testing.T) {
-		v, kv := newEras(2)
+		v, kv := newEraStub(2)
 		_, err := kv.Range(ctx, "k", "")
 		require.NoError(t, err)
 		a, err := kv.Txn(ctx, Txn{If: []Compare{Unmodified("k", revision(t, 2, 7)), Absent("x")}})
@@ -91,7 +91,7 @@
 		assert.Equal(t, []Compare{Unmodified("k", 7), Absent("x")}, v.last.If)
 	})
 	t.Run("one of another era doesn't hold, and isn't sent", func(t *testing.T) {
-		v, kv := newEras(2)
+		v, kv := newEraStub(2)
 		_, err := kv.Range(ctx, "k", "")
 		require.NoError(t, err)
 		a, err := kv.Txn(ctx, Txn{If: []Compare{Unmodified("k", revision(t, 1, 7))}})
@@ -100,10 +100,10 @@
 		assert.Equal(t, 1, v.calls)
 	})
 	t.Run("a lease of another era is gone, for renewals, writes and its end", func(t *testing.T) {
-		v, kv := newEras(2)
+		v, kv := newEraStub(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		v.now = 3
 		_, err = kv.Txn(ctx, Txn{Then: []Op{{Kind: OpPut, Key: "k", Lease: id}}})
 		assert.ErrorIs(t, err, ErrLeaseGone)
@@ -112,31 +112,31 @@
 		assert.Equal(t, 1, v.calls)
 	})
 	t.Run("whose end isn't told to the store, either", func(t *testing.T) {
-		v, kv := newEras(2)
+		v, kv := newEraStub(2)
 		id, err := kv.Grant(ctx, time.Second)
 		require.NoError(t, err)
-		require.NoError(t, v.clock.Hear(3))
+		require.NoError(t, v.clock.Observe(3))
 		assert.NoError(t, kv.Revoke(ctx, id))
 		assert.Equal(t, 1, v.calls)
 	})
 	t.Run("a watch doesn't go on from another era", func(t *testing.T) {
-		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
-		err := kv.Watch(ctx, Under("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
+		v, kv := newEraStub(2)
+		require.NoError(t, v.clock.Observe(2))
+		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 1, 7)), func(WatchBatch) error { return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Zero(t, v.calls)
 	})
 	t.Run("nor over a rise", func(t *testing.T) {
-		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
+		v, kv := newEraStub(2)
+		require.NoError(t, v.clock.Observe(2))
 		var got []int64
-		err := kv.Watch(ctx, Under("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
+		err := kv.Watch(ctx, PrefixSpan("k", revision(t, 2, 7)), func(b WatchBatch) error { got = append(got, b.Revision); return nil })
 		assert.ErrorIs(t, err, ErrCompacted)
 		assert.Equal(t, []int64{revision(t, 2, 7)}, got)
 	})
 	t.Run("a call over a rise has an answer that was lost", func(t *testing.T) {
-		v, kv := newEras(2)
-		require.NoError(t, v.clock.Hear(2))
+		v, kv := newEraStub(2)
+		require.NoError(t, v.clock.Observe(2))
 		v.rises = true
 		_, err := kv.Range(ctx, "k", "")
 		assert.ErrorIs(t, err, ErrUnavailable)
--- a/internal/store/gateway.go
+++ b/internal/store/gateway.go
@@ -276,14 +276,14 @@
 
 // watchSilence ends a watch that shows no sign of life: the service sends
 // progress notifications, so a longer silence means a dead connection.
-const watchSilence = 5 * time.Second
+const watchTimeout = 5 * time.Second
 
 func (g *Gateway) watch(ctx context.Context, s Span, f func(WatchBatch) error) error {
 	key, end, revision := s.Key, s.End, s.From
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// A watch that connects but gets no response header is as dead as a silent one.
-	guard := g.clock.Watchdog(c, watchSilence, cancel)
+	guard := g.clock.Watchdog(c, watchTimeout, cancel)
 	defer guard.Stop()
 	var in jsonWatchRequest
 	in.Create.Key, in.Create.RangeEnd = []byte(key), []byte(end)
@@ -300,7 +300,7 @@
 	for {
 		var w jsonWatchResult
 		if err := d.Decode(&w); err != nil {
-			return watchEnd(ctx, err)
+			return watchError(ctx, err)
 		}
 		guard.Feed()
 		if w.Result.Compacted > 0 {
@@ -312,7 +312,7 @@
 	}
 }
 
-func watchEnd(ctx context.Context, err error) error {
+func watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -40,11 +40,11 @@
 	reads  *rate.Limiter
 	writes *rate.Limiter
 	mu     sync.Mutex
-	fails  int
-	closed time.Time
+	failures  int
+	openUntil time.Time
 	up     bool
-	limit  time.Duration // of the breaker's open time
-	doubt  chan struct{} // closed, and made anew, when a call fails
+	maxBackoff  time.Duration // of the breaker's open time
+	untrusted  chan struct{} // closed, and made anew, when a call fails
 }
 
 // GuardOptions sets a guard. Rates are calls a second for this node alone.
@@ -52,18 +52,18 @@
 	Reads  float64
 	Writes float64
 	// Backoff is the longest that the breaker stays open; 0 means two seconds.
-	Backoff time.Duration
+	MaxBackoff time.Duration
 }
 
 // NewGuard returns a guard that starts with the platform taken as down: the
 // first call that succeeds says otherwise.
 func NewGuard(clock *timer.Service, o GuardOptions) *Guard {
-	if o.Backoff == 0 {
-		o.Backoff = backoffLimit
+	if o.MaxBackoff == 0 {
+		o.MaxBackoff = backoffLimit
 	}
 	return &Guard{
-		limit:  o.Backoff,
-		doubt:  make(chan struct{}),
+		maxBackoff:  o.MaxBackoff,
+		untrusted:  make(chan struct{}),
 		clock:  clock,
 		reads:  rate.NewLimiter(rate.Limit(o.Reads), int(o.Reads)+8),
 		writes: rate.NewLimiter(rate.Limit(o.Writes), int(o.Writes)+8),
@@ -87,7 +87,7 @@
 // doubles up to a limit. The first failures pass through, so that one lost
 // answer doesn't stop the writers behind it.
 const (
-	breakerAfter = 3
+	breakerThreshold = 3
 	backoffStart = 100 * time.Millisecond
 	backoffLimit = 2 * time.Second
 )
@@ -95,49 +95,49 @@
 func (g *Guard) open() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.clock.Now().Before(g.closed)
+	return g.clock.Now().Before(g.openUntil)
 }
 
 // note takes in how a call ended. A failure casts doubt on the watches: one that waits
 // for changes can't tell a store that is silent from one that has nothing to say. A store
 // that turns a call away for its rate is there, and beginning all watches anew would be more
 // calls.
-func (g *Guard) note(err error) {
+func (g *Guard) recordResult(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.count(err) && !errors.Is(err, ErrBudget) {
-		close(g.doubt)
-		g.doubt = make(chan struct{})
+	if g.updateBreaker(err) && !errors.Is(err, ErrBudget) {
+		close(g.untrusted)
+		g.untrusted = make(chan struct{})
 	}
 }
 
 // count opens the breaker after some failures in a row, and tells whether this was one.
-func (g *Guard) count(err error) bool {
+func (g *Guard) updateBreaker(err error) bool {
 	if err == nil || errors.Is(err, ErrLeaseGone) || errors.Is(err, ErrCompacted) {
-		g.fails, g.up = 0, true
+		g.failures, g.up = 0, true
 		return false
 	}
 	if errors.Is(err, context.Canceled) {
 		return false
 	}
-	g.fails++
-	g.up = g.up && g.fails < breakerAfter
-	if g.fails >= breakerAfter {
-		d := backoffStart << min(g.fails-breakerAfter, 5)
-		d = min(d, g.limit)
-		g.closed = g.clock.Now().Add(d/2 + rand.N(d/2+1))
+	g.failures++
+	g.up = g.up && g.failures < breakerThreshold
+	if g.failures >= breakerThreshold {
+		d := backoffStart << min(g.failures-breakerThreshold, 5)
+		d = min(d, g.maxBackoff)
+		g.openUntil = g.clock.Now().Add(d/2 + rand.N(d/2+1))
 	}
 	return true
 }
 
 // doubted is closed when the next call fails.
-func (g *Guard) doubted() <-chan struct{} {
+func (g *Guard) watchesUntrusted() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.doubt
+	return g.untrusted
 }
 
-func (g *Guard) before(kind string, l *rate.Limiter) error {
+func (g *Guard) admit(kind string, l *rate.Limiter) error {
 	if g.open() {
 		Calls.Add("broken", 1)
 		return ErrUnavailable
@@ -157,48 +157,48 @@
 func (g *Guard) Wrap(kv KV) KV {
 	return KV{
 		Range: func(ctx context.Context, key, end string) (RangeResult, error) {
-			if err := g.before("reads", g.reads); err != nil {
+			if err := g.admit("reads", g.reads); err != nil {
 				return RangeResult{}, err
 			}
 			countKey("range", key)
 			r, err := kv.Range(ctx, key, end)
-			g.note(err)
+			g.recordResult(err)
 			return r, err
 		},
-		Glance: func(ctx context.Context, prefix string) (RangeResult, error) {
-			if err := g.before("glances", nil); err != nil {
+		StaleRange: func(ctx context.Context, prefix string) (RangeResult, error) {
+			if err := g.admit("glances", nil); err != nil {
 				return RangeResult{}, err
 			}
 			countKey("glance", prefix)
-			r, err := kv.Glance(ctx, prefix)
-			g.note(err)
+			r, err := kv.StaleRange(ctx, prefix)
+			g.recordResult(err)
 			return r, err
 		},
 		Txn: func(ctx context.Context, t Txn) (TxnResult, error) {
-			if err := g.before("writes", g.writes); err != nil {
+			if err := g.admit("writes", g.writes); err != nil {
 				return TxnResult{}, err
 			}
 			if len(t.Then) > 0 {
 				countKey("txn", t.Then[0].Key)
 			}
 			r, err := kv.Txn(ctx, t)
-			g.note(err)
+			g.recordResult(err)
 			return r, err
 		},
 		Grant: func(ctx context.Context, ttl time.Duration) (int64, error) {
-			if err := g.before("leases", nil); err != nil {
+			if err := g.admit("leases", nil); err != nil {
 				return 0, err
 			}
 			countKey("grant", "")
 			id, err := kv.Grant(ctx, ttl)
-			g.note(err)
+			g.recordResult(err)
 			return id, err
 		},
 		KeepAlive: func(ctx context.Context, lease int64) (time.Duration, error) {
 			Calls.Add("leases", 1)
 			countKey("keep_alive", "")
 			d, err := kv.KeepAlive(ctx, lease)
-			g.note(err)
+			g.recordResult(err)
 			return d, err
 		},
 		Revoke: func(ctx context.Context, lease int64) error {
@@ -206,7 +206,7 @@
 			return kv.Revoke(ctx, lease)
 		},
 		Watch: func(ctx context.Context, s Span, f func(WatchBatch) error) error {
-			if err := g.before("watches", g.reads); err != nil {
+			if err := g.admit("watches", g.reads); err != nil {
 				return err
 			}
 			return g.watch(ctx, kv, s, f)
@@ -219,7 +219,7 @@
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
 	doubted, ended := false, make(chan struct{})
-	doubt := g.doubted()
+	doubt := g.watchesUntrusted()
 	go func() {
 		defer close(ended)
 		select {
@@ -233,7 +233,7 @@
 	countKey("watch", s.Key)
 	err := kv.Watch(c, s, func(b WatchBatch) error {
 		countKey("watch", s.Key) // each answer is followed by another call
-		g.note(nil)
+		g.recordResult(nil)
 		own = f(b)
 		return own
 	})
@@ -243,8 +243,8 @@
 		return err
 	}
 	if doubted {
-		return ErrDoubted
+		return ErrWatchUntrusted
 	}
-	g.note(err)
+	g.recordResult(err)
 	return err
 }
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -13,7 +13,7 @@
 )
 
 // answering is a service whose calls end with the error given, and whose watches wait.
-func answering(err *error) KV {
+func stubKV(err *error) KV {
 	return KV{
 		Range:     func(context.Context, string, string) (RangeResult, error) { return RangeResult{}, *err },
 		KeepAlive: func(context.Context, int64) (time.Duration, error) { return 0, *err },
@@ -29,13 +29,13 @@
 }
 
 // watching starts a watch and returns its end.
-func watching(ctx context.Context, kv KV) <-chan error {
+func startWatch(ctx context.Context, kv KV) <-chan error {
 	end := make(chan error, 1)
 	go func() { end <- kv.Watch(ctx, Span{Key: "k", From: 1}, func(WatchBatch) error { return nil }) }()
 	return end
 }
 
-func TestGuardDoubtsWatches(t *testing.T) {
+func TestFailedCallEndsWatches(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -49,7 +49,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err, begun := c.err, make(chan struct{})
-			plain := answering(&err)
+			plain := stubKV(&err)
 			waits := plain.Watch
 			plain.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
 				close(begun)
@@ -57,7 +57,7 @@
 			}
 			kv := newGuard(timer.Real()).Wrap(plain)
 			ctx, cancel := context.WithCancel(context.Background())
-			end := watching(ctx, kv)
+			end := startWatch(ctx, kv)
 			<-begun
 			ended := func() bool {
 				_, _ = kv.KeepAlive(ctx, 1)
@@ -65,7 +65,7 @@
 			}
 			if c.ends {
 				require.Eventually(t, ended, 30*time.Second, time.Millisecond)
-				assert.ErrorIs(t, <-end, ErrDoubted)
+				assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 			} else {
 				for i := 0; i < 20; i++ {
 					assert.False(t, ended())
@@ -81,8 +81,8 @@
 
 // TestGuardDoubtsTheOtherWatches: a store that forgets its history may leave all watches
 // that wait without an answer; the one that gives up first speaks for all.
-func TestGuardDoubtsTheOtherWatches(t *testing.T) {
-	kv := answering(new(error))
+func TestFailedWatchEndsOtherWatches(t *testing.T) {
+	kv := stubKV(new(error))
 	waits, begun := kv.Watch, make(chan struct{})
 	fail := make(chan struct{})
 	kv.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
@@ -94,17 +94,17 @@
 		return ErrUnavailable
 	}
 	kv = newGuard(timer.Real()).Wrap(kv)
-	end := watching(context.Background(), kv)
+	end := startWatch(context.Background(), kv)
 	<-begun
 	go func() { _ = kv.Watch(context.Background(), Span{Key: "short"}, func(WatchBatch) error { return nil }) }()
 	require.Never(t, func() bool { return len(end) > 0 }, 50*time.Millisecond, 5*time.Millisecond)
 	close(fail)
-	assert.ErrorIs(t, <-end, ErrDoubted)
+	assert.ErrorIs(t, <-end, ErrWatchUntrusted)
 }
 
 // TestWatcherThatHasSeenEnough: a watch that its caller ends is no failure of the store.
-func TestWatcherThatHasSeenEnough(t *testing.T) {
-	kv := answering(new(error))
+func TestCallbackErrorIsNoStoreFailure(t *testing.T) {
+	kv := stubKV(new(error))
 	waits, begun := kv.Watch, make(chan struct{})
 	kv.Watch = func(ctx context.Context, s Span, f func(WatchBatch) error) error {
 		if s.Key != "short" {
@@ -116,10 +116,10 @@
 	g := newGuard(timer.Real())
 	kv = g.Wrap(kv)
 	ctx, cancel := context.WithCancel(context.Background())
-	end := watching(ctx, kv)
+	end := startWatch(ctx, kv)
 	<-begun
 	enough := errors.New("enough")
-	for range 2 * breakerAfter {
+	for range 2 * breakerThreshold {
 		assert.ErrorIs(t, kv.Watch(ctx, Span{Key: "short"}, func(WatchBatch) error { return enough }), enough)
 	}
 	assert.True(t, g.Up())
@@ -128,13 +128,13 @@
 	assert.ErrorIs(t, <-end, context.Canceled)
 }
 
-func TestGuardBreaks(t *testing.T) {
+func TestBreakerOpensAfterFailures(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	err := error(ErrUnavailable)
 	g := newGuard(clock.Service())
-	kv := g.Wrap(answering(&err))
+	kv := g.Wrap(stubKV(&err))
 	read := func() error { _, e := kv.Range(context.Background(), "k", ""); return e }
-	for i := 0; i < breakerAfter; i++ {
+	for i := 0; i < breakerThreshold; i++ {
 		assert.ErrorIs(t, read(), ErrUnavailable)
 	}
 	err = nil
@@ -146,17 +146,17 @@
 	})
 	t.Run("a caller that leaves is no failure", func(t *testing.T) {
 		err = errors.Join(context.Canceled)
-		for i := 0; i < 2*breakerAfter; i++ {
+		for i := 0; i < 2*breakerThreshold; i++ {
 			assert.ErrorIs(t, read(), context.Canceled)
 		}
 		assert.True(t, g.Up())
 	})
 }
 
-func TestGuardKeepsToItsRates(t *testing.T) {
+func TestGuardLimitsRates(t *testing.T) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	err := error(nil)
-	kv := NewGuard(clock.Service(), GuardOptions{Reads: 1, Writes: 1}).Wrap(answering(&err))
+	kv := NewGuard(clock.Service(), GuardOptions{Reads: 1, Writes: 1}).Wrap(stubKV(&err))
 	made := 0
 	for i := 0; i < 100; i++ {
 		if _, e := kv.Range(context.Background(), "k", ""); e == nil {
--- a/internal/store/kv.go
+++ b/internal/store/kv.go
@@ -35,7 +35,7 @@
 	ErrBudget = errs.NewType("budget").New("this node's share of the platform's call rate is used up, the call was not made")
 	// ErrDoubted says that a watch was ended because another call failed: it may have
 	// missed changes. It is no outage: that is for the next read to tell.
-	ErrDoubted = errs.NewType("doubted").New("another call failed, this watch is no longer trusted")
+	ErrWatchUntrusted = errs.NewType("doubted").New("another call failed, this watch is no longer trusted")
 	// ErrLeaseGone says that a lease has expired or was revoked.
 	ErrLeaseGone = errs.NewType("lease_gone").New("the lease has expired")
 )
@@ -123,7 +123,7 @@
 	Range func(ctx context.Context, key, end string) (RangeResult, error)
 	// Glance reads all keys of a prefix at a fraction of Range's cost; what it tells
 	// may be seconds old. A service without such reads leaves it nil.
-	Glance    func(ctx context.Context, prefix string) (RangeResult, error)
+	StaleRange    func(ctx context.Context, prefix string) (RangeResult, error)
 	Txn       func(ctx context.Context, t Txn) (TxnResult, error)
 	Grant     func(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive func(ctx context.Context, lease int64) (time.Duration, error)
@@ -144,7 +144,7 @@
 }
 
 // Under is the span of all keys of a prefix.
-func Under(prefix string, from int64) Span {
+func PrefixSpan(prefix string, from int64) Span {
 	return Span{Key: prefix, End: PrefixEnd(prefix), From: from}
 }
 
--- a/internal/stream/record.go
+++ b/internal/stream/record.go
@@ -93,7 +93,7 @@
 
 // Begin starts a new attempt and returns its number and the offset that it has to
 // go on from.
-func (r *Record) Begin() (attempt, offset int) {
+func (r *Record) StartAttempt() (attempt, offset int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempt++
@@ -147,11 +147,11 @@
 
 // View is what a reader sees.
 type View struct {
-	Pieces   []string // from the offset asked for
+	Tokens   []string // from the offset asked for
 	Outcome  Outcome
 	Failure  string
-	After    time.Duration
-	Finished time.Time
+	RetryAfter    time.Duration
+	FinishedAt time.Time
 }
 
 // Read returns what there is from an offset on, without waiting.
@@ -162,9 +162,9 @@
 }
 
 func (r *Record) viewLocked(from int) View {
-	v := View{Outcome: r.outcome, Failure: r.failure, After: r.after, Finished: r.finished}
+	v := View{Outcome: r.outcome, Failure: r.failure, RetryAfter: r.after, FinishedAt: r.finished}
 	if from < len(r.pieces) {
-		v.Pieces = append(v.Pieces, r.pieces[from:]...)
+		v.Tokens = append(v.Tokens, r.pieces[from:]...)
 	}
 	return v
 }
@@ -176,7 +176,7 @@
 		r.mu.Lock()
 		v, c := r.viewLocked(from), r.changed
 		r.mu.Unlock()
-		if len(v.Pieces) > 0 || v.Outcome != OutcomeOpen {
+		if len(v.Tokens) > 0 || v.Outcome != OutcomeOpen {
 			return v, nil
 		}
 		select {
@@ -209,10 +209,10 @@
 }
 
 // Pieces returns the tokens so far.
-func (r *Record) Pieces() []string { return r.Read(0).Pieces }
+func (r *Record) Tokens() []string { return r.Read(0).Tokens }
 
 // Join counts a reader in, and returns the function that counts it out.
-func (r *Record) Join(now func() time.Time) func() {
+func (r *Record) AddReader(now func() time.Time) func() {
 	r.mu.Lock()
 	r.readers++
 	r.mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // Alone returns since when nobody reads, and whether that is so.
-func (r *Record) Alone() (time.Time, bool) {
+func (r *Record) UnreadSince() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.left, r.readers == 0 && !r.left.IsZero()
--- a/internal/stream/record_test.go
+++ b/internal/stream/record_test.go
@@ -24,7 +24,7 @@
 		for i := 0; i < 60; i++ {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				current, next = r.Begin()
+				current, next = r.StartAttempt()
 				assert.Equal(t, len(want), next, "a new attempt goes on where the answer stands")
 			case 1, 2:
 				if current == 0 {
@@ -53,9 +53,9 @@
 
 func TestRecordEndsOnce(t *testing.T) {
 	r := NewRecord("x")
-	a, _ := r.Begin()
+	a, _ := r.StartAttempt()
 	assert.NoError(t, r.Append(a, 0, "a"))
-	b, _ := r.Begin()
+	b, _ := r.StartAttempt()
 	assert.False(t, r.FinishAttempt(a, time.Time{}), "an old attempt can't end it")
 	assert.True(t, r.FinishAttempt(b, time.Time{}))
 	assert.False(t, r.Finish(OutcomeUnknown, "late", 0, time.Time{}))
--- a/internal/upstream/abandon_test.go
+++ b/internal/upstream/abandon_test.go
@@ -30,7 +30,7 @@
 // with other luck didn't show it.
 
 // slowReader is a listener whose connections take next to nothing until they are read.
-func slowReader(t *testing.T) net.Listener {
+func slowListener(t *testing.T) net.Listener {
 	t.Helper()
 	c := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
@@ -47,8 +47,8 @@
 }
 
 // TestAbandonedRequestsGoNoFurther: what the kernel holds of a request that is given up isn't sent on.
-func TestAbandonedRequestsGoNoFurther(t *testing.T) {
-	l := slowReader(t)
+func TestAbortedRequestIsNotDelivered(t *testing.T) {
+	l := slowListener(t)
 	body := bytes.Repeat([]byte("x"), 512<<10)
 	client := NewClient(timer.Real(), Options{ConnectTimeout: time.Second})
 	defer client.Close()
@@ -68,7 +68,7 @@
 	defer func() { _ = c.Close() }()
 	time.Sleep(200 * time.Millisecond) // the kernel has taken what it takes
 	cancel()
-	assert.ErrorIs(t, <-done, ErrLost)
+	assert.ErrorIs(t, <-done, ErrMayHaveRun)
 	time.Sleep(50 * time.Millisecond)
 	b, err := io.ReadAll(c)
 	assert.Error(t, err, "the connection is reset")
--- a/internal/upstream/chat.go
+++ b/internal/upstream/chat.go
@@ -43,8 +43,8 @@
 	Priority    int // lower goes first
 	Offset      int // tokens the caller has already
 	Text        string
-	FirstByte   time.Duration // longest silence before the first token
-	Between     time.Duration // longest silence between tokens
+	FirstTokenTimeout   time.Duration // longest silence before the first token
+	TokenTimeout     time.Duration // longest silence between tokens
 	Traceparent string
 }
 
@@ -52,7 +52,7 @@
 type Chunk struct {
 	Offset int
 	Text   string
-	Finish string
+	FinishReason string
 	Usage  Usage
 }
 
@@ -109,28 +109,28 @@
 		r.Header.Set("Traceparent", call.Traceparent)
 	}
 	stall := func() { cancel(ErrStalled) }
-	dog := c.clock.Watchdog(x, call.FirstByte, stall)
+	dog := c.clock.Watchdog(x, call.FirstTokenTimeout, stall)
 	a, err := c.Do(r, false)
 	if err != nil {
 		dog.Stop()
-		return stalled(x, err)
+		return stallError(x, err)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
 		dog.Stop()
 		return statusError(a)
 	}
-	err = call.read(a.Body, func(k Chunk) error {
+	err = call.readStream(a.Body, func(k Chunk) error {
 		dog.Stop()
-		dog = c.clock.Watchdog(x, call.Between, stall)
+		dog = c.clock.Watchdog(x, call.TokenTimeout, stall)
 		return f(k)
 	})
 	dog.Stop()
-	return stalled(x, err)
+	return stallError(x, err)
 }
 
 // stalled names a silence as the cause of an error, if it was.
-func stalled(x context.Context, err error) error {
+func stallError(x context.Context, err error) error {
 	if err != nil && context.Cause(x) == ErrStalled { //nolint:errorlint // set by us, never wrapped
 		return fault.Because(ErrStalled, "%v", err)
 	}
@@ -142,9 +142,9 @@
 func statusError(a *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(a.Body, 512))
 	if a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusTooManyRequests {
-		return Refused(a, string(bytes.TrimSpace(b)))
+		return Rejected(a, string(bytes.TrimSpace(b)))
 	}
-	return fault.Because(ErrLost, "status %d: %s", a.StatusCode, bytes.TrimSpace(b))
+	return fault.Because(ErrMayHaveRun, "status %d: %s", a.StatusCode, bytes.TrimSpace(b))
 }
 
 type chunkJSON struct {
@@ -159,13 +159,13 @@
 }
 
 // maxEvent bounds one line of a stream.
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 // read reads server-sent events. The event's id is the offset; an engine that
 // sends none is counted from the offset asked for.
-func (c *ChatCall) read(b io.Reader, f func(Chunk) error) error {
+func (c *ChatCall) readStream(b io.Reader, f func(Chunk) error) error {
 	s := bufio.NewScanner(b)
-	s.Buffer(make([]byte, 0, 4096), maxEvent)
+	s.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	next, offset, finished := c.Offset, -1, false
 	for s.Scan() {
 		line := s.Text()
@@ -184,11 +184,11 @@
 		v = strings.TrimSpace(v)
 		if v == "[DONE]" {
 			if !finished {
-				return fault.Because(ErrLost, "the stream ended without a finish reason")
+				return fault.Because(ErrMayHaveRun, "the stream ended without a finish reason")
 			}
 			return nil
 		}
-		k, err := c.chunk(v, offset, next)
+		k, err := c.parseChunk(v, offset, next)
 		if err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 		if finished {
 			return fault.Because(ErrOffset, "the stream went on after its end")
 		}
-		finished = k.Finish != ""
+		finished = k.FinishReason != ""
 		if k.Text != "" {
 			next++
 		}
@@ -205,18 +205,18 @@
 		}
 	}
 	if err := s.Err(); err != nil {
-		return lost(err)
+		return sentError(err)
 	}
-	return fault.Because(ErrLost, "the stream was cut at offset %d", next)
+	return fault.Because(ErrMayHaveRun, "the stream was cut at offset %d", next)
 }
 
-func (c *ChatCall) chunk(v string, offset, next int) (Chunk, error) {
+func (c *ChatCall) parseChunk(v string, offset, next int) (Chunk, error) {
 	var j chunkJSON
 	if err := json.Unmarshal([]byte(v), &j); err != nil {
-		return Chunk{}, fault.Because(ErrLost, "malformed event: %v", err)
+		return Chunk{}, fault.Because(ErrMayHaveRun, "malformed event: %v", err)
 	}
 	if j.ID != "chatcmpl-"+c.RequestID {
-		return Chunk{}, fault.Because(ErrForeign, "got %q", j.ID)
+		return Chunk{}, fault.Because(ErrRequestMismatch, "got %q", j.ID)
 	}
 	if offset < 0 {
 		offset = next
@@ -226,22 +226,22 @@
 	}
 	k := Chunk{Offset: offset, Usage: j.Usage}
 	if len(j.Choices) > 0 {
-		k.Text, k.Finish = j.Choices[0].Delta.Content, j.Choices[0].Finish
+		k.Text, k.FinishReason = j.Choices[0].Delta.Content, j.Choices[0].Finish
 	}
 	return k, nil
 }
 
 // Export asks an engine to send the KV cache of a request to another.
 func (c *Client) Export(ctx context.Context, address, request, to string) error {
-	return c.small(ctx, address, "/v1/kv/export", map[string]string{"request": request, "to": to})
+	return c.post(ctx, address, "/v1/kv/export", map[string]string{"request": request, "to": to})
 }
 
 // Cancel tells an engine to stop generating for a request.
 func (c *Client) Cancel(ctx context.Context, address, request string) error {
-	return c.small(ctx, address, "/v1/cancel", map[string]string{"request": request})
+	return c.post(ctx, address, "/v1/cancel", map[string]string{"request": request})
 }
 
-func (c *Client) small(ctx context.Context, address, path string, in any) error {
+func (c *Client) post(ctx context.Context, address, path string, in any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -257,7 +257,7 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode/100 != 2 {
-		return fault.Because(ErrRefused, "%s: status %d", path, a.StatusCode)
+		return fault.Because(ErrRejected, "%s: status %d", path, a.StatusCode)
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return Load{}, fault.Because(ErrRefused, "load: status %d", a.StatusCode)
+		return Load{}, fault.Because(ErrRejected, "load: status %d", a.StatusCode)
 	}
 	var l Load
 	err = json.NewDecoder(a.Body).Decode(&l)
--- a/internal/upstream/chat_test.go
+++ b/internal/upstream/chat_test.go
@@ -22,12 +22,12 @@
 
 // chatWith runs one attempt, from an offset on, against an engine that answers with
 // the given text, and returns what came through.
-func chatWith(t *testing.T, offset int, body string) (string, error) {
+func runChat(t *testing.T, offset int, body string) (string, error) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) }))
 	defer s.Close()
 	var got strings.Builder
 	err := newTestClient().Chat(context.Background(), &ChatCall{
-		RequestID: "r", Address: s.Listener.Addr().String(), Offset: offset, FirstByte: time.Second, Between: time.Second,
+		RequestID: "r", Address: s.Listener.Addr().String(), Offset: offset, FirstTokenTimeout: time.Second, TokenTimeout: time.Second,
 	}, func(k Chunk) error {
 		got.WriteString(k.Text)
 		return nil
@@ -35,7 +35,7 @@
 	return got.String(), err
 }
 
-func TestChatTakesOnlyItsOwnWholeStream(t *testing.T) {
+func TestChatAcceptsOnlyCompleteStreamOfItsRequest(t *testing.T) {
 	cases := []struct {
 		name   string
 		offset int
@@ -45,19 +45,19 @@
 	}{
 		{"whole", 0, event("r", 0, "a") + event("r", 1, "b") + end("r"), nil, "ab"},
 		{"resumed", 2, event("r", 2, "c") + end("r"), nil, "c"},
-		{"another request's", 0, event("r", 0, "a") + event("q", 1, "b"), ErrForeign, "a"},
+		{"another request's", 0, event("r", 0, "a") + event("q", 1, "b"), ErrRequestMismatch, "a"},
 		{"resumed from the start", 2, event("r", 0, "a") + end("r"), ErrOffset, ""},
 		{"resumed too late", 2, event("r", 3, "d") + end("r"), ErrOffset, ""},
 		{"a token twice", 0, event("r", 0, "a") + event("r", 0, "a"), ErrOffset, "a"},
 		{"a token missing", 0, event("r", 0, "a") + event("r", 2, "c"), ErrOffset, "a"},
-		{"cut", 0, event("r", 0, "a"), ErrLost, "a"},
-		{"cut before the last word", 0, event("r", 0, "a") + "data: [DONE]\n\n", ErrLost, "a"},
+		{"cut", 0, event("r", 0, "a"), ErrMayHaveRun, "a"},
+		{"cut before the last word", 0, event("r", 0, "a") + "data: [DONE]\n\n", ErrMayHaveRun, "a"},
 		{"overlong", 0, strings.TrimSuffix(end("r"), "data: [DONE]\n\n") + event("r", 0, "a"), ErrOffset, ""},
-		{"malformed", 0, "data: {\n\n", ErrLost, ""},
+		{"malformed", 0, "data: {\n\n", ErrMayHaveRun, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := chatWith(t, c.offset, c.body)
+			got, err := runChat(t, c.offset, c.body)
 			assert.Equal(t, c.text, got)
 			if c.want == nil {
 				assert.NoError(t, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSilentEngineIsLeft(t *testing.T) {
+func TestSilentEngineStalls(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte(event("r", 0, "a")))
 		w.(http.Flusher).Flush()
@@ -76,7 +76,7 @@
 	}))
 	defer s.Close()
 	err := newTestClient().Chat(context.Background(), &ChatCall{
-		RequestID: "r", Address: s.Listener.Addr().String(), FirstByte: 5 * time.Second, Between: 50 * time.Millisecond,
+		RequestID: "r", Address: s.Listener.Addr().String(), FirstTokenTimeout: 5 * time.Second, TokenTimeout: 50 * time.Millisecond,
 	}, func(Chunk) error { return nil })
 	assert.ErrorIs(t, err, ErrStalled)
 }
@@ -94,7 +94,7 @@
 		}
 		next := offset
 		c := &ChatCall{RequestID: "r", Offset: offset}
-		_ = c.read(strings.NewReader(body), func(k Chunk) error {
+		_ = c.readStream(strings.NewReader(body), func(k Chunk) error {
 			if k.Text == "" {
 				return nil
 			}
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -15,32 +15,32 @@
 
 // restMost bounds the rest that an upstream may ask for: what is longer is no rest of one that
 // lives on a reclaimable VM, and a number that can't be meant mustn't put it out of use for good.
-const restMost = time.Hour
+const maxCooldown = time.Hour
 
 // Rest returns how long the upstream that gave an answer wants nothing more, as its refusal says; 0:
 // it doesn't. It says so in seconds, with a fraction or without, or by a date (RFC 9110, section
 // 10.2.3), which counts from the answer's own date, since clocks of two VMs differ. What can't be
 // read counts as not said; of several words the longest holds: who waits too long loses less than who comes
 // while it isn't wanted.
-func Rest(a *http.Response) time.Duration {
+func Cooldown(a *http.Response) time.Duration {
 	if a.StatusCode != http.StatusServiceUnavailable && a.StatusCode != http.StatusTooManyRequests {
 		return 0
 	}
 	longest := time.Duration(0)
 	for _, v := range a.Header.Values(headerRetryAfter) {
-		longest = max(longest, restOf(v, a.Header.Get("Date")))
+		longest = max(longest, parseRetryAfter(v, a.Header.Get("Date")))
 	}
 	return longest
 }
 
 // restOf reads one line. Seconds may stand in a list, as lines that were joined on the way do.
-func restOf(line, date string) time.Duration {
+func parseRetryAfter(line, date string) time.Duration {
 	if until, err := http.ParseTime(line); err == nil {
 		at, err := http.ParseTime(date)
 		if err != nil {
 			return 0
 		}
-		return min(max(0, until.Sub(at)), restMost)
+		return min(max(0, until.Sub(at)), maxCooldown)
 	}
 	longest := 0.0
 	for _, v := range strings.Split(line, ",") {
@@ -49,31 +49,31 @@
 			longest = s
 		}
 	}
-	return time.Duration(min(longest, restMost.Seconds()) * float64(time.Second))
+	return time.Duration(min(longest, maxCooldown.Seconds()) * float64(time.Second))
 }
 
 // refusal is ErrRefused with the rest that its upstream asks for.
-type refusal struct {
+type rejection struct {
 	cause string
-	rest  time.Duration
+	cooldown  time.Duration
 }
 
 // Error returns the cause.
-func (r *refusal) Error() string { return r.cause }
+func (r *rejection) Error() string { return r.cause }
 
 // Is makes errors.Is(err, ErrRefused) hold.
-func (r *refusal) Is(target error) bool { return target == ErrRefused } //nolint:errorlint // sentinel
+func (r *rejection) Is(target error) bool { return target == ErrRejected } //nolint:errorlint // sentinel
 
 // Refused returns ErrRefused for an answer by which an upstream says that it didn't run the request.
-func Refused(a *http.Response, detail string) error {
-	return &refusal{cause: fmt.Sprintf("%v: status %d %s", ErrRefused, a.StatusCode, detail), rest: Rest(a)}
+func Rejected(a *http.Response, detail string) error {
+	return &rejection{cause: fmt.Sprintf("%v: status %d %s", ErrRejected, a.StatusCode, detail), cooldown: Cooldown(a)}
 }
 
 // RestAsked returns the rest that an upstream asked for with an error; 0: none.
-func RestAsked(err error) time.Duration {
-	var r *refusal
+func CooldownOf(err error) time.Duration {
+	var r *rejection
 	if errors.As(err, &r) {
-		return r.rest
+		return r.cooldown
 	}
 	return 0
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -41,15 +41,15 @@
 	// ErrNotSent says that no byte of the request left for the upstream.
 	ErrNotSent = errs.NewType("not_sent").New("no byte of the request reached the upstream")
 	// ErrRefused says that the upstream itself refused before running the request.
-	ErrRefused = errs.NewType("refused").New("the upstream refused the request before running it")
+	ErrRejected = errs.NewType("refused").New("the upstream refused the request before running it")
 	// ErrLost says that the upstream may have run the request.
-	ErrLost = errs.NewType("lost").New("the upstream gave no whole answer, the request may have run")
+	ErrMayHaveRun = errs.NewType("lost").New("the upstream gave no whole answer, the request may have run")
 	// ErrSevered is ErrLost where the upstream's end of the connection was closed or reset, as
 	// it is when its process ends. Silence, of a way that was cut or of an upstream that
 	// hangs, isn't that.
-	ErrSevered = fault.Because(ErrLost, "the upstream closed or reset the connection")
+	ErrSevered = fault.Because(ErrMayHaveRun, "the upstream closed or reset the connection")
 	// ErrForeign says that the upstream answered with another request's id.
-	ErrForeign = errs.NewType("foreign").New("the upstream's answer belongs to another request")
+	ErrRequestMismatch = errs.NewType("foreign").New("the upstream's answer belongs to another request")
 	// ErrOffset says that a stream began or went on at a wrong offset.
 	ErrOffset = errs.NewType("offset").New("the upstream's stream is at a wrong offset")
 	// ErrStalled says that the upstream was silent for too long.
@@ -109,7 +109,7 @@
 	return errors.Join(e, c.Conn.Close())
 }
 
-func (c *conn) count() int {
+func (c *conn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
@@ -125,43 +125,43 @@
 
 // use is one request's use of connections: usually one, more if the transport
 // found that a reused one was dead.
-type use struct {
+type connUse struct {
 	mu    sync.Mutex
 	conns []*conn
-	base  []int
+	writesBefore  []int
 	seal  bool
 }
 
-func (u *use) got(i httptrace.GotConnInfo) {
+func (u *connUse) gotConn(i httptrace.GotConnInfo) {
 	c, ok := i.Conn.(*conn)
 	if !ok {
 		return
 	}
-	n := c.count()
+	n := c.writeCount()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.conns = append(u.conns, c)
-	u.base = append(u.base, n)
+	u.writesBefore = append(u.writesBefore, n)
 }
 
 // wrote seals every connection used and tells whether a write of this request had
 // begun on any.
-func (u *use) wrote() bool {
+func (u *connUse) wrote() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	any := false
 	for i, c := range u.conns {
-		n := c.count()
+		n := c.writeCount()
 		if u.seal {
 			n = c.seal()
 		}
-		any = any || n > u.base[i]
+		any = any || n > u.writesBefore[i]
 	}
 	return any
 }
 
 // severed tells whether the other end of a connection in use has ended it.
-func (u *use) severed() bool {
+func (u *connUse) severed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.ContainsFunc(u.conns, (*conn).wasSevered)
@@ -172,7 +172,7 @@
 	transport *http.Transport
 	clock     *timer.Service
 	// The guards of the habits above; a test takes each out to show what it is for.
-	guardOnce bool
+	guardReplay bool
 	guardSeal bool
 }
 
@@ -183,15 +183,15 @@
 	IdleTimeout    time.Duration // 0: half a minute
 	// Silence is how long a peer's kernel may leave bytes or probes unacknowledged
 	// before its connections count as broken; 0: the system's own, many minutes.
-	Silence time.Duration
+	AckTimeout time.Duration
 }
 
 // NewClient returns a client.
 func NewClient(clock *timer.Service, o Options) *Client {
 	d := &net.Dialer{Timeout: o.ConnectTimeout}
-	if o.Silence > 0 {
+	if o.AckTimeout > 0 {
 		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
-		d.Control = userTimeout(o.Silence)
+		d.Control = setUserTimeout(o.AckTimeout)
 	}
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = 30 * time.Second
@@ -208,12 +208,12 @@
 		IdleConnTimeout:     o.IdleTimeout,
 		DisableCompression:  true, // bodies pass through as they are
 	}
-	return &Client{transport: t, clock: clock, guardOnce: true, guardSeal: true}
+	return &Client{transport: t, clock: clock, guardReplay: true, guardSeal: true}
 }
 
 // userTimeout sets how long sent bytes may stay unacknowledged: a VM that lost power or
 // is cut off says nothing, and a connection to it would hang.
-func userTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
+func setUserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
 		e := c.Control(func(fd uintptr) {
@@ -231,7 +231,7 @@
 
 // Refuses tells whether an address refuses connections: nobody listens there. Silence, of a way
 // that is cut, isn't that.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	v, err := c.transport.DialContext(ctx, "tcp", address)
 	if err == nil {
 		_ = v.Close()
@@ -250,21 +250,21 @@
 }
 
 // once is a body that the transport can't rewind or take for absent.
-type once struct{ io.Reader }
+type oneShotBody struct{ io.Reader }
 
-func (once) Close() error { return nil }
+func (oneShotBody) Close() error { return nil }
 
 // Do sends a request once. Its error is ErrNotSent or ErrLost; a nil error means
 // that an answer's header arrived.
 func (c *Client) Do(r *http.Request, repeatable bool) (*http.Response, error) {
-	u := use{seal: c.guardSeal}
-	s := r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{GotConn: u.got}))
-	if !repeatable && c.guardOnce {
+	u := connUse{seal: c.guardSeal}
+	s := r.WithContext(httptrace.WithClientTrace(r.Context(), &httptrace.ClientTrace{GotConn: u.gotConn}))
+	if !repeatable && c.guardReplay {
 		b := s.Body
 		if b == nil {
 			b = http.NoBody
 		}
-		s.Body, s.GetBody = once{b}, nil
+		s.Body, s.GetBody = oneShotBody{b}, nil
 	}
 	a, err := c.transport.RoundTrip(s)
 	if err == nil {
@@ -276,15 +276,15 @@
 	case errors.Is(err, net.ErrClosed) && u.severed():
 		return nil, fault.Because(ErrSevered, "%v", err)
 	}
-	return nil, lost(err)
+	return nil, sentError(err)
 }
 
 // lost is what a connection's error means for a request that was sent.
-func lost(err error) error {
+func sentError(err error) error {
 	if Severed(err) {
 		return fault.Because(ErrSevered, "%v", err)
 	}
-	return fault.Because(ErrLost, "%v", err)
+	return fault.Because(ErrMayHaveRun, "%v", err)
 }
 
 // Severed tells whether an error of a connection means that its other end was closed or
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -25,7 +25,7 @@
 
 // forgetful answers the first request of each connection and, from the second on,
 // runs the request and closes the connection without a word.
-func forgetful(t *testing.T, runs *atomic.Int64) string {
+func dropAfterFirst(t *testing.T, runs *atomic.Int64) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -59,9 +59,9 @@
 
 // runOnReused opens a connection with one request and sends a keyed one without a
 // body over it, which the service runs without answering.
-func runOnReused(t *testing.T, c *Client) (int64, error) {
+func sendOnReusedConn(t *testing.T, c *Client) (int64, error) {
 	var runs atomic.Int64
-	a := forgetful(t, &runs)
+	a := dropAfterFirst(t, &runs)
 	r, _ := http.NewRequest(http.MethodGet, "http://"+a+"/", nil)
 	s, err := c.Do(r, true)
 	require.NoError(t, err)
@@ -72,19 +72,19 @@
 	return runs.Load(), err
 }
 
-func TestTheTransportNeverRepeatsByItself(t *testing.T) {
-	n, err := runOnReused(t, newTestClient())
+func TestTransportDoesNotResend(t *testing.T) {
+	n, err := sendOnReusedConn(t, newTestClient())
 	assert.EqualValues(t, 1, n)
-	assert.ErrorIs(t, err, ErrLost, "it ran, so it must not be told as not sent")
+	assert.ErrorIs(t, err, ErrMayHaveRun, "it ran, so it must not be told as not sent")
 	t.Run("without the guard it does", func(t *testing.T) {
 		c := newTestClient()
-		c.guardOnce = false
-		n, _ := runOnReused(t, c)
+		c.guardReplay = false
+		n, _ := sendOnReusedConn(t, c)
 		assert.EqualValues(t, 2, n)
 	})
 }
 
-func TestNotSentMeansNotSent(t *testing.T) {
+func TestErrNotSent(t *testing.T) {
 	c := newTestClient()
 	t.Run("nobody listens", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,12 +123,12 @@
 
 // The context may end between the moment a connection is given to a request and
 // the moment its writer writes. The seal decides who was first.
-func TestSealStopsAWriteThatHasNotBegun(t *testing.T) {
+func TestSealStopsLateWrite(t *testing.T) {
 	for _, guarded := range []bool{true, false} {
 		a, b := net.Pipe()
 		go func() { _, _ = bufio.NewReader(b).ReadByte() }()
 		c := &conn{Conn: a}
-		u := &use{conns: []*conn{c}, base: []int{0}, seal: guarded}
+		u := &connUse{conns: []*conn{c}, writesBefore: []int{0}, seal: guarded}
 		assert.False(t, u.wrote())
 		_, err := c.Write([]byte("x"))
 		if guarded {
@@ -147,7 +147,7 @@
 // one. The transport reads that the connection was closed and closes its own end while it is about to write
 // the next part of the request; the error that comes out is the write's, "use of closed network connection",
 // which tells nothing of who closed first.
-func TestSeveredIsTheUpstreamsDoing(t *testing.T) {
+func TestSevered(t *testing.T) {
 	var runs atomic.Int64
 	c := newTestClient()
 	defer c.Close()
@@ -161,14 +161,14 @@
 		return err
 	}
 	t.Run("closed", func(t *testing.T) {
-		address := forgetful(t, &runs)
+		address := dropAfterFirst(t, &runs)
 		require.NoError(t, send(context.Background(), address))
 		err := send(context.Background(), address)
 		assert.ErrorIs(t, err, ErrSevered)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 	})
 	t.Run("closed before the whole request is sent", func(t *testing.T) {
-		address := forgetful(t, &runs)
+		address := dropAfterFirst(t, &runs)
 		require.NoError(t, send(context.Background(), address))
 		body := &slowBody{first: "x", second: "y", pause: 100 * time.Millisecond}
 		q, err := http.NewRequest("POST", "http://"+address+"/run", body)
@@ -180,25 +180,25 @@
 	t.Run("given up by the caller while it is sent", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		body := &slowBody{first: "x", second: "y", pause: 100 * time.Millisecond}
-		q, err := http.NewRequestWithContext(ctx, "POST", "http://"+silent(t)+"/run", body)
+		q, err := http.NewRequestWithContext(ctx, "POST", "http://"+silentUpstream(t)+"/run", body)
 		require.NoError(t, err)
 		q.ContentLength = 2
 		time.AfterFunc(20*time.Millisecond, cancel)
 		_, err = c.Do(q, false)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
 	t.Run("silent", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		err := send(ctx, silent(t))
-		assert.ErrorIs(t, err, ErrLost)
+		err := send(ctx, silentUpstream(t))
+		assert.ErrorIs(t, err, ErrMayHaveRun)
 		assert.NotErrorIs(t, err, ErrSevered)
 	})
 }
 
 // silent returns the address of an upstream that takes connections and says nothing.
-func silent(t *testing.T) string {
+func silentUpstream(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -224,15 +224,15 @@
 	return 0, io.EOF
 }
 
-func TestRefuses(t *testing.T) {
+func TestRefusesConnections(t *testing.T) {
 	c := newTestClient()
 	defer c.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	assert.False(t, c.Refuses(context.Background(), l.Addr().String()), "somebody listens")
+	assert.False(t, c.RefusesConnections(context.Background(), l.Addr().String()), "somebody listens")
 	require.NoError(t, l.Close())
-	assert.True(t, c.Refuses(context.Background(), l.Addr().String()))
+	assert.True(t, c.RefusesConnections(context.Background(), l.Addr().String()))
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.False(t, c.Refuses(gone, l.Addr().String()), "nothing is known")
+	assert.False(t, c.RefusesConnections(gone, l.Addr().String()), "nothing is known")
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -17,7 +17,7 @@
 
 // keep is the number of windows that counts are kept for: those that are still due, and
 // some for a successor that has to catch up.
-const keep = 8
+const keptWindows = 8
 
 // Counts is requests by workspace.
 type Counts map[string]int64
@@ -26,31 +26,31 @@
 type Windows map[int64]Counts
 
 // process names one life of one node.
-type process struct{ node, lifetime string }
+type process struct{ node, incarnation string }
 
 // Book is what one node knows of all counts. It isn't safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	length time.Duration
 	own    process
-	heard  map[process]Windows
+	counts  map[process]Windows
 }
 
 // New returns the book of one process. length is the time that a window covers.
-func New(node, lifetime string, length time.Duration) *Book {
-	b := &Book{length: length, own: process{node, lifetime}, heard: make(map[process]Windows)}
-	b.heard[b.own] = make(Windows)
+func New(node, lifetime string, length time.Duration) *Tracker {
+	b := &Tracker{length: length, own: process{node, lifetime}, counts: make(map[process]Windows)}
+	b.counts[b.own] = make(Windows)
 	return b
 }
 
 // Window returns the number of the window that holds t.
-func (b *Book) Window(t time.Time) int64 { return t.UnixNano() / int64(b.length) }
+func (b *Tracker) Window(t time.Time) int64 { return t.UnixNano() / int64(b.length) }
 
 // End returns when a window ends.
-func (b *Book) End(window int64) time.Time { return time.Unix(0, (window+1)*int64(b.length)) }
+func (b *Tracker) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(b.length)) }
 
 // Add counts a request of a workspace that began to run at t.
-func (b *Book) Add(t time.Time, workspace string) {
-	w, k := b.heard[b.own], b.Window(t)
+func (b *Tracker) Add(t time.Time, workspace string) {
+	w, k := b.counts[b.own], b.Window(t)
 	if w[k] == nil {
 		w[k] = make(Counts)
 	}
@@ -58,18 +58,18 @@
 }
 
 // Own returns this process's counts. The caller doesn't change them.
-func (b *Book) Own() Windows { return b.heard[b.own] }
+func (b *Tracker) Own() Windows { return b.counts[b.own] }
 
 // TakeIn takes in the counts of a process, heard from it or from another node.
-func (b *Book) TakeIn(node, lifetime string, w Windows) {
+func (b *Tracker) Merge(node, lifetime string, w Windows) {
 	p := process{node, lifetime}
 	if p == b.own {
 		return
 	}
-	old := b.heard[p]
+	old := b.counts[p]
 	if old == nil {
 		old = make(Windows)
-		b.heard[p] = old
+		b.counts[p] = old
 	}
 	for k, c := range w {
 		if old[k] == nil {
@@ -82,18 +82,18 @@
 }
 
 // Others calls f for the counts of each process but this one.
-func (b *Book) Others(f func(node, lifetime string, w Windows)) {
-	for p, w := range b.heard {
+func (b *Tracker) EachOther(f func(node, lifetime string, w Windows)) {
+	for p, w := range b.counts {
 		if p != b.own {
-			f(p.node, p.lifetime, w)
+			f(p.node, p.incarnation, w)
 		}
 	}
 }
 
 // Sum returns the counts of a window over all processes.
-func (b *Book) Sum(window int64) Counts {
+func (b *Tracker) Sum(window int64) Counts {
 	sum := make(Counts)
-	for _, w := range b.heard {
+	for _, w := range b.counts {
 		for n, v := range w[window] {
 			sum[n] += v
 		}
@@ -102,9 +102,9 @@
 }
 
 // Processes returns how many processes have counted anything in a window.
-func (b *Book) Processes(window int64) int {
+func (b *Tracker) Processes(window int64) int {
 	n := 0
-	for _, w := range b.heard {
+	for _, w := range b.counts {
 		if len(w[window]) > 0 {
 			n++
 		}
@@ -113,12 +113,12 @@
 }
 
 // Forget drops the windows that are no longer needed at t.
-func (b *Book) Forget(t time.Time) {
-	oldest := b.Window(t) - keep
-	for p, w := range b.heard {
+func (b *Tracker) Forget(t time.Time) {
+	oldest := b.Window(t) - keptWindows
+	for p, w := range b.counts {
 		maps.DeleteFunc(w, func(k int64, _ Counts) bool { return k < oldest })
 		if len(w) == 0 && p != b.own {
-			delete(b.heard, p)
+			delete(b.counts, p)
 		}
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -18,7 +18,7 @@
 	assert.Equal(t, int64(1_700_000_000/5), k)
 	assert.Equal(t, k, b.Window(start.Add(length-1)))
 	assert.Equal(t, k+1, b.Window(start.Add(length)))
-	assert.Equal(t, start.Add(length), b.End(k).In(start.Location()))
+	assert.Equal(t, start.Add(length), b.WindowEnd(k).In(start.Location()))
 }
 
 // TestSumIsTheTruthHoweverReportsCome sends reports late, twice and out of order.
@@ -39,9 +39,9 @@
 		}
 		sent = append(sent, copied(b.Own()))
 		for range sent {
-			a.TakeIn("b", "1", sent[rapid.IntRange(0, len(sent)-1).Draw(t, "report")])
+			a.Merge("b", "1", sent[rapid.IntRange(0, len(sent)-1).Draw(t, "report")])
 		}
-		a.TakeIn("b", "1", sent[len(sent)-1])
+		a.Merge("b", "1", sent[len(sent)-1])
 		for k, v := range truth {
 			assert.Equal(t, v, a.Sum(k)["w"])
 		}
@@ -63,25 +63,25 @@
 	t.Run("lives of a node add up", func(t *testing.T) {
 		b := New("a", "1", length)
 		k := b.Window(start)
-		b.TakeIn("b", "1", Windows{k: {"w": 2}})
-		b.TakeIn("b", "2", Windows{k: {"w": 3}})
-		b.TakeIn("a", "0", Windows{k: {"w": 4}})
+		b.Merge("b", "1", Windows{k: {"w": 2}})
+		b.Merge("b", "2", Windows{k: {"w": 3}})
+		b.Merge("a", "0", Windows{k: {"w": 4}})
 		assert.Equal(t, Counts{"w": 9}, b.Sum(k))
 	})
 	t.Run("its own counts aren't taken from others", func(t *testing.T) {
 		b := New("a", "1", length)
 		b.Add(start, "w")
-		b.TakeIn("a", "1", Windows{b.Window(start): {"w": 7}})
+		b.Merge("a", "1", Windows{b.Window(start): {"w": 7}})
 		assert.Equal(t, Counts{"w": 1}, b.Sum(b.Window(start)))
 	})
 	t.Run("old windows go", func(t *testing.T) {
 		b := New("a", "1", length)
 		b.Add(start, "w")
-		b.TakeIn("b", "1", Windows{b.Window(start): {"w": 1}})
-		b.Forget(start.Add((keep + 1) * length))
+		b.Merge("b", "1", Windows{b.Window(start): {"w": 1}})
+		b.Forget(start.Add((keptWindows + 1) * length))
 		assert.Empty(t, b.Sum(b.Window(start)))
 		n := 0
-		b.Others(func(string, string, Windows) { n++ })
+		b.EachOther(func(string, string, Windows) { n++ })
 		assert.Zero(t, n)
 	})
 }
