--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -16,7 +16,7 @@
 	"spurhall.example/spurhall/internal/pair"
 )
 
-// This file orders upstreams at the node that holds the duties' lease. autoscale.Mix decides; this file
+// This file orders upstreams at the node that holds the duties' lease. autoscale.MixPlanner decides; this file
 // gathers its inputs and turns its counts into calls.
 //
 // An order states a total count, so a late or repeated order does no lasting harm. A count is ordered when
